--- a/core/src/main/java/org/citrontide/core/expertmap/ExpertMap.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/ExpertMap.java
@@ -3,21 +3,21 @@
 import java.util.Arrays;
 
 /**
- * Which experts each rank holds, and the part of an expert's tokens that each of its places takes. Immutable; the
- * arrays must not be changed.
+ * Assignment of experts to the slots of the ranks, with the share of an expert's tokens that each replica processes.
+ * Immutable; the arrays must not be changed.
  *
- * @param experts the experts of each rank, in the order of their places
- * @param shares the part of the expert's tokens that each place takes; the places of an expert add up to 1
+ * @param experts the experts of each rank, in slot order
+ * @param shares the share of the expert's tokens for each slot; the shares of an expert add up to 1
  */
 public record ExpertMap(int[][] experts, double[][] shares) {
 
     /**
-     * Spreads experts over ranks without regard to load.
+     * Assigns experts to ranks round-robin, without regard to load.
      *
      * @param expertCount number of experts
      * @param ranks number of ranks
-     * @param slotsPerRank experts that fit on one rank
-     * @return a map that counts the experts round the places, with equal shares
+     * @param slotsPerRank number of slots of each rank
+     * @return a map that fills all slots, with equal shares for the replicas of an expert
      */
     public static ExpertMap roundRobin(int expertCount, int ranks, int slotsPerRank) {
         int[][] map = new int[ranks][slotsPerRank];
@@ -48,29 +48,29 @@
      * @return at least 1
      */
     public double skew(RankLoads loads) {
-        double[] times = times(loads);
-        double sum = Arrays.stream(times).sum();
-        double max = Arrays.stream(times).max().orElse(0);
-        return sum == 0 ? 1 : max * times.length / sum;
+        double[] rankTimes = rankTimes(loads);
+        double sum = Arrays.stream(rankTimes).sum();
+        double max = Arrays.stream(rankTimes).max().orElse(0);
+        return sum == 0 ? 1 : max * rankTimes.length / sum;
     }
 
     /**
-     * Returns the time that a step takes on its slowest rank.
+     * Returns the time of a step on the slowest rank.
      *
      * @param loads loads of the experts and speeds of the ranks
      * @return time in units of a healthy rank's time for one token
      */
     public double stepTime(RankLoads loads) {
-        return Arrays.stream(times(loads)).max().orElse(0);
+        return Arrays.stream(rankTimes(loads)).max().orElse(0);
     }
 
     /**
-     * Counts the weights that must be loaded to get here from another map.
+     * Counts the experts whose weights must be loaded to switch to this map from another one.
      *
      * @param from the other map
-     * @return experts that a rank holds here and not there, over all ranks
+     * @return number of experts that a rank holds in this map and not in the other one, summed over the ranks
      */
-    public int movesFrom(ExpertMap from) {
+    public int countMovesFrom(ExpertMap from) {
         int moves = 0;
         for (int r = 0; r < experts.length; r++) {
             int[] old = from.experts[r].clone();
@@ -82,14 +82,14 @@
         return moves;
     }
 
-    private double[] times(RankLoads loads) {
-        double[] times = new double[experts.length];
+    private double[] rankTimes(RankLoads loads) {
+        double[] rankTimes = new double[experts.length];
         for (int r = 0; r < experts.length; r++) {
             for (int p = 0; p < experts[r].length; p++) {
-                times[r] += loads.expertLoads()[experts[r][p]] * shares[r][p];
+                rankTimes[r] += loads.expertLoads()[experts[r][p]] * shares[r][p];
             }
-            times[r] /= loads.rankSpeeds()[r];
+            rankTimes[r] /= loads.rankSpeeds()[r];
         }
-        return times;
+        return rankTimes;
     }
 }
--- a/core/src/main/java/org/citrontide/core/expertmap/GroupMap.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/GroupMap.java
@@ -4,52 +4,52 @@
 import java.util.List;
 
 /**
- * The expert maps of all sets of layers of a group, under one version. Immutable.
+ * Expert maps of all layer sets of a group, under one version. Immutable.
  *
- * @param version number of the map, never used for two maps in one epoch of a group
+ * @param version number of the map, unique within an epoch of the group
  * @param sets one map for each set
  */
 public record GroupMap(long version, List<ExpertMap> sets) {
 
-    /** Copies the list. */
+    /** Creates a map with a copy of the list. */
     public GroupMap {
         sets = List.copyOf(sets);
     }
 
     /**
-     * Returns the map of a group that has just formed, which deals the experts out in turn.
+     * Returns the map of a newly formed group, with the experts assigned to the ranks round-robin.
      *
-     * @param sets sets of layers
-     * @param experts experts in each set
-     * @param ranks ranks of the group
-     * @return map 0
+     * @param sets number of layer sets
+     * @param experts number of experts in each set
+     * @param ranks number of ranks of the group
+     * @return the map, with version 0
      */
     public static GroupMap initial(int sets, int experts, int ranks) {
-        int[][] dealt = new int[ranks][];
+        int[][] assigned = new int[ranks][];
         for (int r = 0; r < ranks; r++) {
             int first = r;
             int count = first < experts ? (experts - first - 1) / ranks + 1 : 0;
-            dealt[r] = new int[count];
+            assigned[r] = new int[count];
             for (int i = 0; i < count; i++) {
-                dealt[r][i] = first + i * ranks;
+                assigned[r][i] = first + i * ranks;
             }
         }
         List<ExpertMap> maps = new ArrayList<>();
         for (int s = 0; s < sets; s++) {
-            maps.add(ExpertMap.equalShares(dealt, experts));
+            maps.add(ExpertMap.equalShares(assigned, experts));
         }
         return new GroupMap(0, maps);
     }
 
     /**
-     * Builds a map from the lists of its ranks.
+     * Creates a map from the experts that each rank holds; the replicas of an expert get equal shares.
      *
      * @param version number of the map
-     * @param byRank experts of each rank, by set
-     * @param experts experts in each set
+     * @param byRank experts of each rank, indexed by set
+     * @param experts number of experts in each set
      * @return the map
      */
-    public static GroupMap ofLists(long version, List<int[][]> byRank, int experts) {
+    public static GroupMap fromRanks(long version, List<int[][]> byRank, int experts) {
         List<ExpertMap> maps = new ArrayList<>();
         int sets = byRank.getFirst().length;
         for (int s = 0; s < sets; s++) {
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Returns the time of a pass that the experts take, set by set on the most loaded rank.
+     * Returns the expert time of a pass: the sum over the sets of the time on the most loaded rank.
      *
      * @param loads loads of each set
      * @return time in units of a healthy rank's time for one token
@@ -77,7 +77,7 @@
     }
 
     /**
-     * Returns the mean over the sets of the most loaded rank relative to the mean rank.
+     * Returns the load of the most loaded rank relative to the mean rank, averaged over the sets.
      *
      * @param loads loads of each set
      * @return at least 1
@@ -91,12 +91,12 @@
     }
 
     /**
-     * Returns the most experts, over all sets together, that one rank must copy to get here.
+     * Returns the largest number of experts, summed over the sets, that a rank must copy to switch to this map.
      *
      * @param from map in force
-     * @return experts of the rank with the most
+     * @return number of experts that the rank with the most copies must load
      */
-    public int mostNewOnOneRank(GroupMap from) {
+    public int maxNewExpertsPerRank(GroupMap from) {
         int most = 0;
         for (int r = 0; r < sets.getFirst().experts().length; r++) {
             int sum = 0;
--- a/core/src/main/java/org/citrontide/core/expertmap/GroupMapController.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/GroupMapController.java
@@ -64,7 +64,7 @@
     private final PassClock passes = new PassClock();
     private final AnswerRate answers = new AnswerRate();
     private Duration targetGap = Duration.ZERO;
-    private Optional<MapDecision> decision = Optional.empty();
+    private Optional<RebalancePolicy> decision = Optional.empty();
     private Optional<GroupMap> current = Optional.empty();
     private Optional<GroupMap> next = Optional.empty();
     private Optional<GroupChange> change = Optional.empty();
@@ -210,7 +210,7 @@
     private void noteSpeed(String upstream, RankReport r) {
         int rank = ranks.indexOf(upstream);
         if (rank >= 0 && r.epoch() == epoch) {
-            decision.ifPresent(d -> d.rankRuns(rank, speed(r)));
+            decision.ifPresent(d -> d.updateRankSpeed(rank, speed(r)));
         }
     }
 
@@ -263,12 +263,12 @@
         if (first.epoch() != epoch) {
             epoch = first.epoch();
             current = Optional.empty();
-            decision.ifPresent(MapDecision::countsBeginAnew);
+            decision.ifPresent(RebalancePolicy::resetCounters);
         }
         if (decision.isEmpty()) {
-            decision = Optional.of(new MapDecision(profile, turn.nowNanos()));
+            decision = Optional.of(new RebalancePolicy(profile, turn.nowNanos()));
         }
-        decision.get().ranksRun(speeds);
+        decision.get().setRankSpeeds(speeds);
     }
 
     private void list(Turn turn) {
@@ -288,7 +288,7 @@
         }
         lists.put(rank, l.experts().get());
         if (lists.size() == ranks.size()) {
-            current = Optional.of(GroupMap.ofLists(l.version(), List.copyOf(lists.values()), profile.experts()));
+            current = Optional.of(GroupMap.fromRanks(l.version(), List.copyOf(lists.values()), profile.experts()));
             beginSampling(Duration.ZERO, turn);
         }
     }
@@ -303,7 +303,7 @@
         if (turn.nowNanos() < dueNanos) {
             return;
         }
-        Duration interval = decision.orElseThrow().isKnown() ? effort().sampleInterval() : FIRST_INTERVAL;
+        Duration interval = decision.orElseThrow().hasDemandEstimate() ? effort().sampleInterval() : FIRST_INTERVAL;
         dueNanos = turn.nowNanos() + interval.toNanos();
         if (isIdle()) {
             turn.add(new MapAction.ReadReport(ranks.getFirst()));
@@ -322,8 +322,8 @@
         }
     }
 
-    private BalanceEffort effort() {
-        return decision.orElseThrow().effort();
+    private RebalanceParameters effort() {
+        return decision.orElseThrow().parameters();
     }
 
     private void counted(MapEvent.Counted c, Turn turn) {
@@ -344,7 +344,7 @@
             observe(Duration.ZERO, turn);
             return;
         }
-        if (!decision.orElseThrow().read(rank, counts.counts())) {
+        if (!decision.orElseThrow().recordCounts(rank, counts.counts())) {
             observe(OBSERVE_INTERVAL, turn);
             return;
         }
@@ -364,10 +364,10 @@
             awaitPass(turn);
             return;
         }
-        decision.orElseThrow().passesTake(passes.passTime(), targetGap, turn.nowNanos());
+        decision.orElseThrow().updatePassTime(passes.passTime(), targetGap, turn.nowNanos());
         long version = term * VERSIONS_PER_TERM + changes + 1;
         Optional<MapAction.Plan> search =
-                decision.orElseThrow().search(current.orElseThrow(), version, turn.nowNanos());
+                decision.orElseThrow().nextSearch(current.orElseThrow(), version, turn.nowNanos());
         if (search.isPresent()) {
             changes++;
             enter(Phase.PLANNING, turn);
@@ -394,7 +394,7 @@
         if (phase != Phase.PLANNING) {
             return;
         }
-        MapDecision d = decision.orElseThrow();
+        RebalancePolicy d = decision.orElseThrow();
         GroupMap from = current.orElseThrow();
         if (!d.isWorthwhile(map, from)) {
             beginSampling(effort().sampleInterval(), turn);
@@ -403,7 +403,7 @@
         turn.note("map-change-begun", d.describe(map, from));
         enter(Phase.CHANGING, turn);
         next = Optional.of(map);
-        Duration copy = profile.copyTime(map.mostNewOnOneRank(from));
+        Duration copy = profile.copyTime(map.maxNewExpertsPerRank(from));
         change = Optional.of(GroupChange.begin(ranks, epoch, passes, answers, map, copy, turn));
     }
 
@@ -416,7 +416,7 @@
                 lastHolder = c.holder();
                 waits = 0;
                 if (elected) {
-                    decision.orElseThrow().lookAgain();
+                    decision.orElseThrow().requestDecision();
                     beginSampling(AFTER_CHANGE, turn);
                 } else {
                     enter(Phase.IDLE, turn);
--- a/core/src/main/java/org/citrontide/core/expertmap/MapAction.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/MapAction.java
@@ -63,7 +63,7 @@
             List<ExpertMap> next = new ArrayList<>();
             for (int s = 0; s < loads.size(); s++) {
                 next.add(new PlacementImprover(current.sets().get(s), loads.get(s), newPerRank)
-                        .improved(maxSteps, leastGain));
+                        .improve(maxSteps, leastGain));
             }
             return new GroupMap(version, next);
         }
--- a/core/src/main/java/org/citrontide/core/expertmap/MapAlignment.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/MapAligner.java
@@ -6,41 +6,40 @@
 import java.util.List;
 
 /**
- * Gives the sets of experts of a new map to the ranks that hold most of them already.
+ * Permutes the ranks of a new map so that most experts stay where they are in the current map, to reduce moves.
  *
- * <p>Invariant: the sets stay as they are; only ranks of about equal speed are exchanged.
- * Greedy: pairs with the most experts in common
- * first. Confined to one call.
+ * <p>Greedy: pairs of ranks with the most experts in common come first. Invariant: experts of one rank stay together,
+ * and only ranks of about equal speed are exchanged. Not thread-safe.
  */
-final class MapAlignment {
+final class MapAligner {
 
-    /** A set of the new map on a rank of the old one. */
-    private record Pair(int set, int rank, int common) {}
+    /** A rank of the new map, a rank of the current map, and the number of experts that they have in common. */
+    private record Pair(int nextRank, int rank, int common) {}
 
-    private static final double SPEED_STEPS = 50;
+    private static final double SPEED_STEPS_PER_UNIT = 50;
 
     private final ExpertMap next;
     private final ExpertMap current;
     private final long[] speedSteps;
 
-    MapAlignment(ExpertMap next, ExpertMap current, RankLoads loads) {
+    MapAligner(ExpertMap next, ExpertMap current, RankLoads loads) {
         this.next = next;
         this.current = current;
         this.speedSteps = Arrays.stream(loads.rankSpeeds())
-                .mapToLong(s -> Math.round(s * SPEED_STEPS))
+                .mapToLong(s -> Math.round(s * SPEED_STEPS_PER_UNIT))
                 .toArray();
     }
 
-    ExpertMap aligned() {
+    ExpertMap align() {
         int ranks = next.experts().length;
         int[][] result = new int[ranks][];
         double[][] shares = new double[ranks][];
-        boolean[] placed = new boolean[ranks];
+        boolean[] assigned = new boolean[ranks];
         for (Pair p : pairs()) {
-            if (result[p.rank()] == null && !placed[p.set()]) {
-                result[p.rank()] = next.experts()[p.set()];
-                shares[p.rank()] = next.shares()[p.set()];
-                placed[p.set()] = true;
+            if (result[p.rank()] == null && !assigned[p.nextRank()]) {
+                result[p.rank()] = next.experts()[p.nextRank()];
+                shares[p.rank()] = next.shares()[p.nextRank()];
+                assigned[p.nextRank()] = true;
             }
         }
         return new ExpertMap(result, shares);
@@ -54,16 +53,16 @@
             Arrays.sort(sorted[r]);
         }
         List<Pair> pairs = new ArrayList<>(ranks * ranks);
-        for (int set = 0; set < ranks; set++) {
+        for (int nextRank = 0; nextRank < ranks; nextRank++) {
             for (int r = 0; r < ranks; r++) {
-                if (speedSteps[set] != speedSteps[r]) {
+                if (speedSteps[nextRank] != speedSteps[r]) {
                     continue;
                 }
                 int common = 0;
-                for (int e : next.experts()[set]) {
+                for (int e : next.experts()[nextRank]) {
                     common += Arrays.binarySearch(sorted[r], e) >= 0 ? 1 : 0;
                 }
-                pairs.add(new Pair(set, r, common));
+                pairs.add(new Pair(nextRank, r, common));
             }
         }
         pairs.sort(Comparator.comparingInt(Pair::common).reversed());
--- a/core/src/main/java/org/citrontide/core/expertmap/MapProposal.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/MapProposal.java
@@ -1,22 +1,22 @@
 package org.citrontide.core.expertmap;
 
 /**
- * A proposal to use another map from a step on. Immutable.
+ * Proposal to switch to another map at a given step. Immutable.
  *
  * @param map the new map
- * @param base the map that it takes the place of
+ * @param base the map that it replaces
  * @param step first step under the new map
  */
 public record MapProposal(MapId map, MapId base, long step) {
 
     /**
-     * Checks the order of the maps.
+     * Checks that the identifier of the new map is higher than that of its base.
      *
-     * @throws IllegalArgumentException if the new map is not above its base
+     * @throws IllegalArgumentException if the identifier of the new map is not higher than that of its base
      */
     public MapProposal {
         if (map.compareTo(base) <= 0) {
-            throw new IllegalArgumentException(map + " is not above " + base);
+            throw new IllegalArgumentException(map + " is not higher than its base " + base);
         }
     }
 }
--- a/core/src/main/java/org/citrontide/core/expertmap/PlacementImprover.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/PlacementImprover.java
@@ -8,51 +8,53 @@
 import java.util.stream.IntStream;
 
 /**
- * Improves the map of one set of experts in small steps, because a rank can take in only a few new experts at a time.
+ * Improves the map of one set of experts by a greedy local search, because a rank can load only a few new experts at a
+ * time.
  *
- * <p>The load that it answers: a few experts that suddenly get most of the tokens. A pass lasts as long as its most
- * loaded rank, so the search looks at the few most loaded ranks: it gives one of their experts a further replica,
- * swaps one with another rank, or drops one that others hold as well, whichever relieves the group most.
+ * <p>Handles demand that suddenly concentrates on a few experts. A pass lasts as long as its most loaded rank takes, so
+ * each step considers the few most loaded ranks: it adds a replica of one of their experts to another rank, swaps an
+ * expert with another rank, or removes an expert that other ranks hold too, whichever reduces the norm of the rank
+ * times most.
  *
- * <p>Invariants: every expert stays on at least one rank; no rank holds an expert twice, more than its places, or more
- * new experts than allowed; the tokens of an expert are shared evenly by its replicas. Not thread-safe.
+ * <p>Invariants: each expert stays on at least one rank; no rank holds an expert twice, more experts than it has slots,
+ * or more new experts than allowed; the replicas of an expert get equal shares of its tokens. Not thread-safe.
  */
 public final class PlacementImprover {
-    // High enough that the most loaded rank dominates, low enough that the next ones still count.
-    private static final int NORM = 8;
+    // High enough for the most loaded rank to dominate, low enough for the next ones to count.
+    private static final int NORM_ORDER = 8;
     private static final int HOT_RANKS = 3;
     private static final int FREE = -1;
 
     private final RankLoads loads;
-    private final int newPerRank;
-    private final int[][] places;
-    private final boolean[][] base;
+    private final int maxNewPerRank;
+    private final int[][] slots;
+    private final boolean[][] initiallyHeld;
     private final boolean[][] held;
     private final int[] replicas;
     private final int[] added;
 
     /**
-     * Prepares a search.
+     * Creates a search that starts from the map in force.
      *
      * @param current map in force
      * @param loads loads of the experts and speeds of the ranks
-     * @param newPerRank most experts that a rank may take in
+     * @param maxNewPerRank maximum number of new experts per rank
      */
-    public PlacementImprover(ExpertMap current, RankLoads loads, int newPerRank) {
+    public PlacementImprover(ExpertMap current, RankLoads loads, int maxNewPerRank) {
         this.loads = loads;
-        this.newPerRank = newPerRank;
+        this.maxNewPerRank = maxNewPerRank;
         int ranks = loads.ranks();
-        places = new int[ranks][loads.slotsPerRank()];
-        base = new boolean[ranks][loads.experts()];
+        slots = new int[ranks][loads.slotsPerRank()];
+        initiallyHeld = new boolean[ranks][loads.experts()];
         held = new boolean[ranks][loads.experts()];
         replicas = new int[loads.experts()];
         added = new int[ranks];
         for (int r = 0; r < ranks; r++) {
-            Arrays.fill(places[r], FREE);
+            Arrays.fill(slots[r], FREE);
             for (int p = 0; p < current.experts()[r].length; p++) {
                 int e = current.experts()[r][p];
-                places[r][p] = e;
-                base[r][e] = true;
+                slots[r][p] = e;
+                initiallyHeld[r][e] = true;
                 held[r][e] = true;
                 replicas[e]++;
             }
@@ -62,13 +64,13 @@
     /**
      * Searches for a better map.
      *
-     * @param maxSteps most changes of a place
-     * @param leastGain part by which a change must relieve the most loaded ranks, since each copies an expert
+     * @param maxSteps maximum number of changes
+     * @param minGain fraction by which each change must reduce the norm of the rank times, because it may copy experts
      * @return the best map found, which may be the one in force
      */
-    public ExpertMap improved(int maxSteps, double leastGain) {
+    public ExpertMap improve(int maxSteps, double minGain) {
         for (int i = 0; i < maxSteps; i++) {
-            Optional<Change> best = bestChange(leastGain);
+            Optional<Change> best = bestChange(minGain);
             if (best.isEmpty()) {
                 break;
             }
@@ -77,23 +79,23 @@
         return map();
     }
 
-    /** A change of one place, and of a second one in a swap. */
-    private record Change(int rank, int place, int expert, int otherRank, int otherPlace, int otherExpert) {
-        private static Change single(int rank, int place, int expert) {
-            return new Change(rank, place, expert, FREE, FREE, FREE);
+    /** A change of one slot, or of two slots in a swap. */
+    private record Change(int rank, int slot, int expert, int otherRank, int otherSlot, int otherExpert) {
+        private static Change single(int rank, int slot, int expert) {
+            return new Change(rank, slot, expert, FREE, FREE, FREE);
         }
     }
 
-    private Optional<Change> bestChange(double leastGain) {
-        double[] work = work();
-        double least = norm(work) * (1 - leastGain);
+    private Optional<Change> bestChange(double minGain) {
+        double[] rankTimes = rankTimes();
+        double lowestCost = norm(rankTimes) * (1 - minGain);
         Change best = null;
-        for (int hot : hottest(work)) {
-            for (int p = 0; p < places[hot].length; p++) {
-                for (Change c : changes(hot, p)) {
+        for (int hot : mostLoadedRanks(rankTimes)) {
+            for (int p = 0; p < slots[hot].length; p++) {
+                for (Change c : candidateChanges(hot, p)) {
                     double cost = cost(c);
-                    if (cost < least) {
-                        least = cost;
+                    if (cost < lowestCost) {
+                        lowestCost = cost;
                         best = c;
                     }
                 }
@@ -102,104 +104,104 @@
         return Optional.ofNullable(best);
     }
 
-    private static int[] hottest(double[] work) {
-        return IntStream.range(0, work.length)
+    private static int[] mostLoadedRanks(double[] rankTimes) {
+        return IntStream.range(0, rankTimes.length)
                 .boxed()
-                .sorted(Comparator.comparingDouble(r -> -work[r]))
+                .sorted(Comparator.comparingDouble(r -> -rankTimes[r]))
                 .limit(HOT_RANKS)
                 .mapToInt(Integer::intValue)
                 .toArray();
     }
 
-    /** Lists the changes that relieve one place of a rank. */
-    private List<Change> changes(int hot, int place) {
-        int e = places[hot][place];
+    /** Returns the possible changes that take load off one slot of a rank. */
+    private List<Change> candidateChanges(int hot, int slot) {
+        int e = slots[hot][slot];
         List<Change> list = new ArrayList<>();
         if (e == FREE) {
             return list;
         }
         if (replicas[e] > 1) {
-            list.add(Change.single(hot, place, FREE));
+            list.add(Change.single(hot, slot, FREE));
         }
-        for (int r = 0; r < places.length; r++) {
-            if (r == hot || held[r][e] || !mayTake(r, e)) {
+        for (int r = 0; r < slots.length; r++) {
+            if (r == hot || held[r][e] || !canAdd(r, e)) {
                 continue;
             }
-            for (int q = 0; q < places[r].length; q++) {
-                int v = places[r][q];
+            for (int q = 0; q < slots[r].length; q++) {
+                int v = slots[r][q];
                 if (v == FREE || replicas[v] > 1) {
                     list.add(Change.single(r, q, e));
                 }
-                if (v == FREE || !held[hot][v] && mayTake(hot, v)) {
-                    list.add(new Change(r, q, e, hot, place, v));
+                if (v == FREE || !held[hot][v] && canAdd(hot, v)) {
+                    list.add(new Change(r, q, e, hot, slot, v));
                 }
             }
         }
         return list;
     }
 
-    private boolean mayTake(int rank, int expert) {
-        return base[rank][expert] || added[rank] < newPerRank;
+    private boolean canAdd(int rank, int expert) {
+        return initiallyHeld[rank][expert] || added[rank] < maxNewPerRank;
     }
 
     private double cost(Change c) {
-        int before = places[c.rank()][c.place()];
+        int before = slots[c.rank()][c.slot()];
         apply(c);
-        double cost = norm(work());
+        double cost = norm(rankTimes());
         if (c.otherRank() != FREE) {
-            set(c.otherRank(), c.otherPlace(), c.expert());
+            setSlot(c.otherRank(), c.otherSlot(), c.expert());
         }
-        set(c.rank(), c.place(), before);
+        setSlot(c.rank(), c.slot(), before);
         return cost;
     }
 
     private void apply(Change c) {
-        set(c.rank(), c.place(), c.expert());
+        setSlot(c.rank(), c.slot(), c.expert());
         if (c.otherRank() != FREE) {
-            set(c.otherRank(), c.otherPlace(), c.otherExpert());
+            setSlot(c.otherRank(), c.otherSlot(), c.otherExpert());
         }
     }
 
-    private void set(int rank, int place, int expert) {
-        int old = places[rank][place];
+    private void setSlot(int rank, int slot, int expert) {
+        int old = slots[rank][slot];
         if (old != FREE) {
             held[rank][old] = false;
             replicas[old]--;
-            added[rank] -= base[rank][old] ? 0 : 1;
+            added[rank] -= initiallyHeld[rank][old] ? 0 : 1;
         }
-        places[rank][place] = expert;
+        slots[rank][slot] = expert;
         if (expert != FREE) {
             held[rank][expert] = true;
             replicas[expert]++;
-            added[rank] += base[rank][expert] ? 0 : 1;
+            added[rank] += initiallyHeld[rank][expert] ? 0 : 1;
         }
     }
 
-    private double[] work() {
-        double[] work = new double[places.length];
-        for (int r = 0; r < work.length; r++) {
-            for (int e : places[r]) {
-                work[r] += e == FREE ? 0 : loads.expertLoads()[e] / replicas[e];
+    private double[] rankTimes() {
+        double[] rankTimes = new double[slots.length];
+        for (int r = 0; r < rankTimes.length; r++) {
+            for (int e : slots[r]) {
+                rankTimes[r] += e == FREE ? 0 : loads.expertLoads()[e] / replicas[e];
             }
-            work[r] /= loads.rankSpeeds()[r];
+            rankTimes[r] /= loads.rankSpeeds()[r];
         }
-        return work;
+        return rankTimes;
     }
 
-    private static double norm(double[] work) {
+    private static double norm(double[] rankTimes) {
         double sum = 0;
-        for (double w : work) {
+        for (double w : rankTimes) {
             double square = w * w;
             double fourth = square * square;
             sum += fourth * fourth;
         }
-        return Math.pow(sum, 1.0 / NORM);
+        return Math.pow(sum, 1.0 / NORM_ORDER);
     }
 
     private ExpertMap map() {
-        int[][] map = new int[places.length][];
+        int[][] map = new int[slots.length][];
         for (int r = 0; r < map.length; r++) {
-            map[r] = Arrays.stream(places[r]).filter(e -> e != FREE).toArray();
+            map[r] = Arrays.stream(slots[r]).filter(e -> e != FREE).toArray();
         }
         return ExpertMap.equalShares(map, loads.experts());
     }
--- a/core/src/main/java/org/citrontide/core/expertmap/PlacementPlanner.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/PlacementPlanner.java
@@ -9,26 +9,27 @@
 /**
  * Plans the next expert map of a group from its measured loads.
  *
- * <p>Hot experts get replicas until all places are used; the parts are then placed, heaviest first, on the rank that
- * will end earliest at its speed and has room. Then the tokens of each expert are shared among its places so that the
- * ranks end together. Weights move only if that saves more time over the horizon, against sharing anew on the places in
- * force, than the weights take to load: a popularity that swings does not move weights to and fro.
+ * <p>Hot experts get replicas until all slots are used. The replicas are then placed, in descending order of their
+ * load, on the rank with a free slot that finishes earliest at its speed. Finally, the tokens of each expert are
+ * divided among its replicas so that the ranks finish at the same time. Experts are moved only if the time saved over
+ * the horizon, compared with new shares on the current placement, exceeds the time to load their weights, so an
+ * oscillating load causes no repeated moves.
  *
- * <p>Invariants: every expert is on at least one rank; no rank holds an expert twice; no rank holds more than its
- * places. Stateless but for its settings; safe for use by many threads.
+ * <p>Invariants: each expert is on at least one rank; no rank holds an expert twice; no rank holds more experts than it
+ * has slots. Immutable and safe for use by multiple threads.
  */
 public final class PlacementPlanner {
-    private static final double LEAST_GAIN = 0.05;
-    private static final double LEAST_RESHARE_GAIN = 0.01;
+    private static final double MIN_GAIN = 0.05;
+    private static final double MIN_RESHARE_GAIN = 0.01;
 
     private final Duration horizon;
     private final Duration loadTime;
 
     /**
-     * Makes a planner.
+     * Creates a planner.
      *
-     * @param horizon time for which the loads are taken to last
-     * @param loadTime time in which the rate-limited weight store delivers one expert
+     * @param horizon time for which the measured loads are assumed to last
+     * @param loadTime time to load the weights of one expert from the rate-limited weight store
      */
     public PlacementPlanner(Duration horizon, Duration loadTime) {
         this.horizon = horizon;
@@ -36,25 +37,25 @@
     }
 
     /**
-     * Plans a map.
+     * Plans the next map.
      *
      * @param loads measured loads
      * @param current map in force
-     * @return the plan, or empty if the map in force is good enough
+     * @return the plan, or empty if no map improves enough on the one in force
      */
     public Optional<Plan> plan(RankLoads loads, ExpertMap current) {
-        ExpertMap reshared = new ShareBalance(current, loads).balanced();
-        ExpertMap aligned = new MapAlignment(place(loads), current, loads).aligned();
-        ExpertMap next = new ShareBalance(aligned, loads).balanced();
-        int moves = next.movesFrom(current);
+        ExpertMap reshared = new ShareBalancer(current, loads).balance();
+        ExpertMap aligned = new MapAligner(place(loads), current, loads).align();
+        ExpertMap next = new ShareBalancer(aligned, loads).balance();
+        int moves = next.countMovesFrom(current);
         double gain = 1 - next.stepTime(loads) / reshared.stepTime(loads);
         double saved = horizon.toMillis() * gain;
         double cost = (double) loadTime.toMillis() * moves;
-        if (moves > 0 && gain >= LEAST_GAIN && saved > cost) {
+        if (moves > 0 && gain >= MIN_GAIN && saved > cost) {
             return Optional.of(new Plan(next, moves, gain));
         }
         double reshareGain = 1 - reshared.stepTime(loads) / current.stepTime(loads);
-        return reshareGain < LEAST_RESHARE_GAIN ? Optional.empty() : Optional.of(new Plan(reshared, 0, reshareGain));
+        return reshareGain < MIN_RESHARE_GAIN ? Optional.empty() : Optional.of(new Plan(reshared, 0, reshareGain));
     }
 
     private static ExpertMap place(RankLoads loads) {
@@ -64,40 +65,40 @@
                 .sorted(Comparator.comparingDouble(e -> -loads.expertLoads()[e] / replicas[e]))
                 .mapToInt(Integer::intValue)
                 .toArray();
-        Placement p = new Placement(loads);
+        PlacementBuilder builder = new PlacementBuilder(loads);
         for (int e : order) {
-            p.place(e, replicas[e]);
+            builder.place(e, replicas[e]);
         }
-        return p.map();
+        return builder.build();
     }
 
-    /** Gives the spare places to the experts with the largest part, at most one to a rank. */
+    /** Assigns each spare slot to the expert with the largest load per replica; an expert has at most one per rank. */
     private static int[] replicas(RankLoads loads) {
         int[] replicas = new int[loads.experts()];
-        PriorityQueue<Integer> byPart =
+        PriorityQueue<Integer> byLoadPerReplica =
                 new PriorityQueue<>(Comparator.comparingDouble(e -> -loads.expertLoads()[e] / replicas[e]));
         for (int e = 0; e < replicas.length; e++) {
             replicas[e] = 1;
-            byPart.add(e);
+            byLoadPerReplica.add(e);
         }
-        int spare = loads.ranks() * loads.slotsPerRank() - replicas.length;
-        while (spare > 0 && !byPart.isEmpty()) {
-            int e = byPart.poll();
+        int spareSlots = loads.ranks() * loads.slotsPerRank() - replicas.length;
+        while (spareSlots > 0 && !byLoadPerReplica.isEmpty()) {
+            int e = byLoadPerReplica.poll();
             if (replicas[e] < loads.ranks()) {
                 replicas[e]++;
-                spare--;
-                byPart.add(e);
+                spareSlots--;
+                byLoadPerReplica.add(e);
             }
         }
         return replicas;
     }
 
     /**
-     * A map that is worth its cost. Immutable.
+     * A map whose gain exceeds the cost of its moves. Immutable.
      *
      * @param map the map
-     * @param moves weights to load
-     * @param gain part of the step time that it saves
+     * @param moves number of experts whose weights must be loaded, over all ranks
+     * @param gain fraction of the step time that the map saves
      */
     public record Plan(ExpertMap map, int moves, double gain) {}
 }
--- a/core/src/main/java/org/citrontide/core/expertmap/RankState.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RankState.java
@@ -65,10 +65,10 @@
         return new RankState(
                 rank,
                 ranks,
-                List.of(new Switch(0, MapId.FIRST)),
+                List.of(new Switch(0, MapId.INITIAL)),
                 -1,
-                MapId.FIRST,
-                Set.of(MapId.FIRST),
+                MapId.INITIAL,
+                Set.of(MapId.INITIAL),
                 Optional.empty());
     }
 
--- /dev/null
+++ b/core/src/main/java/org/citrontide/core/expertmap/RebalancePolicy.java
@@ -0,0 +1,119 @@
+package org.citrontide.core.expertmap;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.Optional;
+
+import org.citrontide.core.routes.EngineProfile;
+
+/**
+ * Decides whether a new expert map is worth the cost of copying experts, from the selection counts of a few ranks.
+ *
+ * <p>If demand shifts to other experts every few seconds, only a large gain repays the copies; if demand is steady, a
+ * small gain does. Not thread-safe.
+ */
+final class RebalancePolicy {
+    // Fewer expert selections, as a mean over the sets, are too noisy to act on.
+    private static final int MIN_SELECTIONS = 1500;
+    private static final double MIN_SPEED_CHANGE = 0.1;
+    private static final Duration STEADY_AFTER = Duration.ofSeconds(8);
+
+    private final EngineProfile profile;
+    private final DemandEstimator demand;
+    private double[] speeds = new double[0];
+    private long lastShiftNanos;
+    private boolean isDecisionRequested;
+    private RebalanceParameters parameters;
+
+    RebalancePolicy(EngineProfile profile, long nowNanos) {
+        this.profile = profile;
+        this.demand = new DemandEstimator(profile.sets(), profile.experts());
+        this.lastShiftNanos = nowNanos;
+        this.parameters = RebalanceParameters.select(Duration.ZERO, Duration.ZERO, false);
+    }
+
+    /** Updates the thresholds from the measured pass time and the target gap between events. */
+    void updatePassTime(Duration passTime, Duration targetGap, long nowNanos) {
+        parameters =
+                RebalanceParameters.select(passTime, targetGap, nowNanos - lastShiftNanos > STEADY_AFTER.toNanos());
+    }
+
+    /** Returns the thresholds and intervals that apply now. */
+    RebalanceParameters parameters() {
+        return parameters;
+    }
+
+    boolean hasDemandEstimate() {
+        return demand.hasEstimate();
+    }
+
+    /** Sets the speeds of all ranks relative to a healthy rank. */
+    void setRankSpeeds(double[] newSpeeds) {
+        speeds = newSpeeds.clone();
+    }
+
+    /** Updates the speed of one rank; a large change requests a decision. */
+    void updateRankSpeed(int rank, double speed) {
+        if (rank < speeds.length && speed != speeds[rank]) {
+            isDecisionRequested |= Math.abs(speed - speeds[rank]) > MIN_SPEED_CHANGE && demand.hasEstimate();
+            speeds = speeds.clone();
+            speeds[rank] = speed;
+        }
+    }
+
+    /** Handles a new formation of the group: its counters restart at zero, but the demand estimate stays valid. */
+    void resetCounters() {
+        demand.resetCounters();
+        isDecisionRequested = demand.hasEstimate();
+    }
+
+    /** Records the cumulative counts of a rank; returns false if their length does not fit the profile. */
+    boolean recordCounts(int rank, long[] counts) {
+        if (counts.length != profile.sets() * profile.experts()) {
+            return false;
+        }
+        demand.recordCounts(rank, counts);
+        return true;
+    }
+
+    /** Requests a decision at the next call of {@link #nextSearch}, even without new counts. */
+    void requestDecision() {
+        isDecisionRequested = true;
+    }
+
+    /** Returns the search for a better map to run now, or empty if none is due. */
+    Optional<MapAction.Plan> nextSearch(GroupMap current, long newVersion, long nowNanos) {
+        boolean isFresh = demand.update(MIN_SELECTIONS);
+        if (!isFresh && !isDecisionRequested) {
+            return Optional.empty();
+        }
+        if (isFresh && demand.hasShifted()) {
+            lastShiftNanos = nowNanos;
+        }
+        isDecisionRequested = false;
+        List<RankLoads> loads = loads();
+        if (current.skew(loads) < parameters.minSkew()) {
+            return Optional.empty();
+        }
+        return Optional.of(
+                new MapAction.Plan(current, loads, profile.newPerPrepare(), newVersion, parameters.minStepGain()));
+    }
+
+    /** Returns true if the map found saves enough expert time per pass to be activated. */
+    boolean isWorthwhile(GroupMap found, GroupMap current) {
+        List<RankLoads> loads = loads();
+        return 1 - found.passTime(loads) / current.passTime(loads) >= parameters.minGain();
+    }
+
+    /** Returns the log text for a change of the map. */
+    String describe(GroupMap found, GroupMap current) {
+        List<RankLoads> loads = loads();
+        return String.format(
+                "version %d skew %.2f to %.2f new %d",
+                found.version(), current.skew(loads), found.skew(loads), found.maxNewExpertsPerRank(current));
+    }
+
+    private List<RankLoads> loads() {
+        return demand.loads(speeds, profile.placesPerRank());
+    }
+}
--- a/core/src/test/java/org/citrontide/core/expertmap/GroupSearch.java
+++ b/core/src/test/java/org/citrontide/core/expertmap/GroupSearch.java
@@ -38,8 +38,8 @@
     GroupSearch(int lastStep) {
         this.lastStep = lastStep;
         for (long step = 1; step <= 2; step++) {
-            candidates.add(new MapProposal(new MapId(1, 1), MapId.FIRST, step));
-            candidates.add(new MapProposal(new MapId(2, 1), MapId.FIRST, step));
+            candidates.add(new MapProposal(new MapId(1, 1), MapId.INITIAL, step));
+            candidates.add(new MapProposal(new MapId(2, 1), MapId.INITIAL, step));
             candidates.add(new MapProposal(new MapId(2, 1), new MapId(1, 1), step));
         }
     }
@@ -138,7 +138,7 @@
         int told = 0;
         for (RankAction a : t.actions()) {
             if (a instanceof RankAction.Vote v) {
-                told |= 1 << s.rank() * 4 + (int) (v.map().fence() - 1) * 2 + (v.accepted() ? 1 : 0);
+                told |= 1 << s.rank() * 4 + (int) (v.map().fencingToken() - 1) * 2 + (v.accepted() ? 1 : 0);
             }
         }
         return new Move(index(t.state()), told);
--- a/core/src/test/java/org/citrontide/core/expertmap/PlacementPlannerTest.java
+++ b/core/src/test/java/org/citrontide/core/expertmap/PlacementPlannerTest.java
@@ -14,15 +14,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Measures step skew under drifting popularity against a static map, and checks the plans. */
+/** Compares the step skew of planned maps under drifting popularity with that of a static map, and checks the plans. */
 final class PlacementPlannerTest {
-    /** Intervals of 10 s in an hour; loads are those of the interval before. */
+    /** Number of 10 s intervals in an hour; each plan uses the loads of the previous interval. */
     private static final int INTERVALS = 360;
 
     private static final int INTERVALS_PER_MINUTE = 6;
 
-    /** One expert in so many exchanges its popularity with a neighbour in a minute. */
-    private static final int DRIFT_PART = 32;
+    /** One in this many experts swaps its popularity with a neighbour per minute. */
+    private static final int DRIFT_DIVISOR = 32;
 
     private static final double TARGET_SKEW = 1.10;
     private static final double NOISE = 0.03;
@@ -31,7 +31,7 @@
 
     @ParameterizedTest
     @CsvSource({"16, 64, 6, 1.0", "256, 256, 3, 1.0", "16, 64, 6, 0.6", "256, 256, 3, 0.6"})
-    void driftingPopularityStaysWithinTheTarget(int ranks, int experts, int slots, double slowest) {
+    void meanSkewStaysWithinTargetUnderDriftingPopularity(int ranks, int experts, int slots, double slowest) {
         double[] speeds = speeds(ranks, slowest);
         SplittableRandom random = new SplittableRandom(5);
         double[] popularity = zipf(experts);
@@ -63,8 +63,8 @@
     }
 
     @Test
-    void swingThatDoesNotPayMovesNothing() {
-        PlacementPlanner careful = new PlacementPlanner(Duration.ofSeconds(20), Duration.ofSeconds(1));
+    void oscillatingLoadMovesNoExperts() {
+        PlacementPlanner shortHorizonPlanner = new PlacementPlanner(Duration.ofSeconds(20), Duration.ofSeconds(1));
         double[] a = zipf(64);
         double[] b = a.clone();
         b[0] = a[1];
@@ -74,13 +74,13 @@
                 .map();
         for (int i = 0; i < 10; i++) {
             Optional<PlacementPlanner.Plan> plan =
-                    careful.plan(new RankLoads(i % 2 == 0 ? b : a, speeds(16, 1), 6), map);
+                    shortHorizonPlanner.plan(new RankLoads(i % 2 == 0 ? b : a, speeds(16, 1), 6), map);
             assertEquals(0, plan.map(PlacementPlanner.Plan::moves).orElse(0));
         }
     }
 
     @Test
-    void everyExpertHasAPlaceAndNoRankHoldsOneTwice() {
+    void everyExpertIsPlacedAndNoRankHoldsOneTwice() {
         SplittableRandom random = new SplittableRandom(3);
         for (int i = 0; i < 200; i++) {
             int ranks = 2 + random.nextInt(30);
@@ -89,8 +89,10 @@
             double[] loads = random.doubles(experts, 0, 100).toArray();
             double[] speeds = random.doubles(ranks, 0.3, 1).toArray();
             ExpertMap start = ExpertMap.roundRobin(experts, ranks, 1);
-            PlacementPlanner eager = new PlacementPlanner(Duration.ofDays(1), Duration.ZERO);
-            eager.plan(new RankLoads(loads, speeds, slots), start).ifPresent(p -> check(p.map(), experts, slots));
+            PlacementPlanner zeroCostPlanner = new PlacementPlanner(Duration.ofDays(1), Duration.ZERO);
+            zeroCostPlanner
+                    .plan(new RankLoads(loads, speeds, slots), start)
+                    .ifPresent(p -> check(p.map(), experts, slots));
         }
     }
 
@@ -98,7 +100,7 @@
         Set<Integer> placed = new HashSet<>();
         for (int[] rank : map.experts()) {
             Set<Integer> own = new HashSet<>(Arrays.stream(rank).boxed().toList());
-            assertEquals(rank.length, own.size(), "an expert twice on a rank");
+            assertEquals(rank.length, own.size(), "a rank holds an expert twice");
             assertTrue(rank.length <= slots);
             placed.addAll(own);
         }
@@ -120,9 +122,9 @@
         return p;
     }
 
-    /** Some experts exchange their popularity with a neighbour in each interval. */
+    /** Swaps the popularity of some experts with that of a neighbour. */
     private static void drift(double[] p, SplittableRandom random) {
-        int perMinute = p.length / DRIFT_PART;
+        int perMinute = p.length / DRIFT_DIVISOR;
         for (int i = 0; i < perMinute; i++) {
             if (random.nextInt(INTERVALS_PER_MINUTE) > 0) {
                 continue;
