--- a/core/src/main/java/org/citrontide/core/dispatch/Dispatcher.java
+++ b/core/src/main/java/org/citrontide/core/dispatch/Dispatcher.java
@@ -89,10 +89,10 @@
             case DispatchEvent.Head h -> step.head(h);
             case DispatchEvent.Chunk c -> step.chunk(c);
             case DispatchEvent.Ended e -> step.attemptEnded(e.attempt(), e.verdict(), e.length());
-            case DispatchEvent.LinkUp u -> directory.linkUp(u.upstream());
+            case DispatchEvent.LinkUp u -> directory.markLinkUp(u.upstream());
             case DispatchEvent.LinkDown d -> step.linkDown(d.upstream());
-            case DispatchEvent.Report r -> directory.reported(r.upstream(), r.report());
-            case DispatchEvent.Listed l -> step.listed(directory.listed(l.vms()));
+            case DispatchEvent.Report r -> directory.updateReport(r.upstream(), r.report());
+            case DispatchEvent.Listed l -> step.listed(directory.updateList(l.vms()));
             case DispatchEvent.Configured c -> configuration = c.configuration();
             case DispatchEvent.Tick t -> step.expire();
         }
@@ -144,7 +144,7 @@
      * @return true if there is one
      */
     public boolean hasUpstream(String service) {
-        return !directory.accepting(service).isEmpty();
+        return !directory.acceptingUpstreams(service).isEmpty();
     }
 
     private static AdmissionKey key(DispatchRequest r) {
@@ -193,7 +193,7 @@
                 finish(o, new Verdict.NotRun(Reason.DEADLINE, Duration.ZERO));
                 return;
             }
-            List<Upstream> accepting = directory.accepting(r.service());
+            List<Upstream> accepting = directory.acceptingUpstreams(r.service());
             Optional<Upstream> choice = r.bucket().isPresent()
                     ? router.chooseHome(accepting, o.tried, r.bucket().get())
                     : router.choose(accepting, o.tried, r.urgency());
@@ -205,7 +205,7 @@
             long attempt = nextAttempt++;
             o.beginAttempt(new OpenRequest.Attempt(attempt, id));
             byAttempt.put(attempt, o);
-            directory.sent(id, r.urgency());
+            directory.recordSent(id, r.urgency());
             Duration left = Duration.ofNanos(r.deadlineNanos() - nowNanos);
             Duration remaining = left.compareTo(DEADLINE_SLACK.multipliedBy(2)) > 0 ? left.minus(DEADLINE_SLACK) : left;
             out.add(new DispatchAction.Send(attempt, id, r.id(), remaining, o.splitter.events()));
@@ -291,7 +291,7 @@
             UpstreamId upstream = o.attempt.orElseThrow().upstream();
             o.attempt = Optional.empty();
             Verdict outcome = verdict instanceof Verdict.Completed c ? wholeOrBroken(o, c, length) : verdict;
-            directory.ended(upstream, o.request.urgency(), isUpstreamFault(outcome));
+            directory.recordEnded(upstream, o.request.urgency(), isUpstreamFault(outcome));
             o.mayHaveRun |= outcome instanceof Verdict.MayHaveRun;
             settle(o, outcome);
         }
@@ -347,7 +347,7 @@
             byDeadline.remove(o.request);
             o.attempt.ifPresent(a -> {
                 byAttempt.remove(a.number());
-                directory.ended(a.upstream(), o.request.urgency(), false);
+                directory.recordEnded(a.upstream(), o.request.urgency(), false);
                 out.add(new DispatchAction.Cancel(a.number(), a.upstream()));
             });
             o.attempt = Optional.empty();
@@ -358,7 +358,7 @@
         }
 
         private void linkDown(UpstreamId upstream) {
-            directory.linkDown(upstream);
+            directory.markLinkDown(upstream);
             List<Long> lost = byAttempt.values().stream()
                     .map(o -> o.attempt.orElseThrow())
                     .filter(a -> a.upstream().equals(upstream))
--- a/core/src/main/java/org/citrontide/core/membership/ListedVm.java
+++ b/core/src/main/java/org/citrontide/core/membership/ListedVm.java
@@ -1,12 +1,12 @@
 package org.citrontide.core.membership;
 
 /**
- * One line of the platform's lagging list of VMs. Immutable.
+ * A VM in the platform's list of VMs, which lags behind their actual state. Immutable.
  *
  * @param vm name of the VM
  * @param zone its availability zone
- * @param service service of the upstream on it
- * @param id where its sidecar listens
- * @param leaving whether the platform says that it is leaving
+ * @param service service of the upstream on the VM, empty if there is none
+ * @param id link address of its sidecar
+ * @param isLeaving whether the platform reports that the VM is leaving
  */
-public record ListedVm(String vm, String zone, String service, UpstreamId id, boolean leaving) {}
+public record ListedVm(String vm, String zone, String service, UpstreamId id, boolean isLeaving) {}
--- a/core/src/main/java/org/citrontide/core/membership/SidecarReport.java
+++ b/core/src/main/java/org/citrontide/core/membership/SidecarReport.java
@@ -1,13 +1,13 @@
 package org.citrontide.core.membership;
 
 /**
- * What a sidecar says of itself. Immutable.
+ * Readiness and load of a sidecar, as it reports them. Immutable.
  *
- * @param accepting whether it takes new work
- * @param running requests running
- * @param waiting requests waiting
- * @param waitMillis estimated wait of a new request in ms
- * @param slots requests that run at once
- * @param liveAhead live requests running and waiting
+ * @param isAccepting whether it accepts new requests
+ * @param running number of running requests
+ * @param waiting number of waiting requests
+ * @param waitMillis estimated queueing time of a new request, ms
+ * @param slots maximum number of requests that run concurrently
+ * @param liveAhead number of running and waiting live requests
  */
-public record SidecarReport(boolean accepting, int running, int waiting, int waitMillis, int slots, int liveAhead) {}
+public record SidecarReport(boolean isAccepting, int running, int waiting, int waitMillis, int slots, int liveAhead) {}
--- a/core/src/main/java/org/citrontide/core/membership/Upstream.java
+++ b/core/src/main/java/org/citrontide/core/membership/Upstream.java
@@ -5,21 +5,21 @@
 import org.citrontide.core.publication.Urgency;
 
 /**
- * What one entry knows of one upstream.
+ * State of one upstream as one entry sees it.
  *
- * <p>Invariant: the sidecar's own word goes before the platform's list, and a lost link before both. Not thread-safe:
- * owned by the directory's thread.
+ * <p>Invariant: the sidecar's own report takes precedence over the platform's list, and a lost link over both. Not
+ * thread-safe: owned by the directory's thread.
  */
 public final class Upstream {
-    private static final double FAILURE_WEIGHT = 0.2;
-    private static final double LEAST_HEALTH = 0.05;
+    private static final double HEALTH_SAMPLE_WEIGHT = 0.2;
+    private static final double MIN_HEALTH = 0.05;
     private static final SidecarReport NO_REPORT = new SidecarReport(false, 0, 0, 0, 1, 0);
 
     private final ListedVm vm;
-    private boolean linked;
+    private boolean isLinked;
     private Optional<SidecarReport> report = Optional.empty();
-    private final Sent sentAll = new Sent();
-    private final Sent sentLive = new Sent();
+    private final SentCounts sentAll = new SentCounts();
+    private final SentCounts sentLive = new SentCounts();
     private double health = 1;
 
     Upstream(ListedVm vm) {
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Returns the upstream's line of the platform's list.
+     * Returns the upstream's VM as the platform lists it.
      *
      * @return name, zone, service and address
      */
@@ -36,89 +36,90 @@
     }
 
     /**
-     * Says whether new work may be sent here.
+     * Returns whether new requests may be sent to this upstream.
      *
-     * @return true if the link is up and the sidecar says that it takes work
+     * @return true if the link is up and the sidecar reports that it accepts requests
      */
     public boolean isAccepting() {
-        return linked && report.map(SidecarReport::accepting).orElse(false);
+        return isLinked && report.map(SidecarReport::isAccepting).orElse(false);
     }
 
     /**
-     * Estimates the load that a new request would meet. A live request goes before all others, so only live ones count.
+     * Estimates the load that a new request would find. Live requests are served before all others, so only live ones
+     * count for a live request.
      *
-     * @param urgency class of the new request
-     * @return requests ahead and the new one per slot, divided by the health of the upstream
+     * @param urgency urgency class of the new request
+     * @return number of requests ahead plus the new one, per slot, divided by the health of the upstream
      */
     public double load(Urgency urgency) {
         SidecarReport r = report.orElse(NO_REPORT);
-        boolean live = urgency == Urgency.LIVE;
-        int reported = live ? r.liveAhead() : r.running() + r.waiting();
-        Sent s = live ? sentLive : sentAll;
+        boolean isLive = urgency == Urgency.LIVE;
+        int reported = isLive ? r.liveAhead() : r.running() + r.waiting();
+        SentCounts s = isLive ? sentLive : sentAll;
         double ahead = Math.max(s.outstanding, reported + s.sinceReport);
         return (ahead + 1) / Math.max(1, r.slots()) / health;
     }
 
     /**
-     * Returns the requests sent by this entry and not ended yet.
+     * Returns the number of requests in flight from this entry to the upstream.
      *
-     * @return count
+     * @return number of requests sent and not yet ended
      */
     public int outstanding() {
         return sentAll.outstanding;
     }
 
     /**
-     * Returns the last report of the sidecar.
+     * Returns the last report of the sidecar since the link came up.
      *
-     * @return the report, or empty if the link never gave one
+     * @return the report, or empty if none has arrived on the current link
      */
     public Optional<SidecarReport> report() {
         return report;
     }
 
-    void linkUp() {
-        linked = true;
+    void markLinkUp() {
+        isLinked = true;
     }
 
-    void linkDown() {
-        linked = false;
+    void markLinkDown() {
+        isLinked = false;
         report = Optional.empty();
-        forgetSent();
+        resetSentSinceReport();
     }
 
     boolean isLinked() {
-        return linked;
+        return isLinked;
     }
 
-    void reported(SidecarReport r) {
+    void updateReport(SidecarReport r) {
         report = Optional.of(r);
-        forgetSent();
+        resetSentSinceReport();
     }
 
-    void sent(Urgency urgency) {
+    void recordSent(Urgency urgency) {
         sentAll.add(1);
         if (urgency == Urgency.LIVE) {
             sentLive.add(1);
         }
     }
 
-    void ended(Urgency urgency, boolean failed) {
+    void recordEnded(Urgency urgency, boolean hasFailed) {
         sentAll.outstanding--;
         if (urgency == Urgency.LIVE) {
             sentLive.outstanding--;
         }
-        double sample = failed ? LEAST_HEALTH : 1;
-        health = Math.max(LEAST_HEALTH, health + FAILURE_WEIGHT * (sample - health));
+        double sample = hasFailed ? MIN_HEALTH : 1;
+        health = Math.max(MIN_HEALTH, health + HEALTH_SAMPLE_WEIGHT * (sample - health));
     }
 
-    private void forgetSent() {
+    private void resetSentSinceReport() {
         sentAll.sinceReport = 0;
         sentLive.sinceReport = 0;
     }
 
-    /** Requests that this entry sent. */
-    private static final class Sent {
+    /** Counts of the requests that this entry sent. */
+    private static final class SentCounts {
         private int sinceReport;
         private int outstanding;
 
--- a/core/src/main/java/org/citrontide/core/membership/UpstreamDirectory.java
+++ b/core/src/main/java/org/citrontide/core/membership/UpstreamDirectory.java
@@ -13,11 +13,11 @@
 import org.citrontide.core.publication.Urgency;
 
 /**
- * The upstreams that one entry knows, from the platform's list, the sidecars' reports and the state of the links.
+ * Directory of the upstreams known to one entry, from the platform's list, the sidecars' reports and the link states.
  *
- * <p>Invariants: an upstream that says it is draining takes no new work from here on, whatever the list says; one that
- * left the list is kept while its link is up, because the list lags; the index by service holds what the map of all
- * holds. Not thread-safe: one thread owns it.
+ * <p>Invariants: an upstream that reports that it is draining gets no new requests, whatever the list says; an upstream
+ * that left the list is kept while its link is up, because the list lags; the index by service holds the same upstreams
+ * as the map of all. Not thread-safe: one thread owns it.
  */
 public final class UpstreamDirectory {
     private final Map<UpstreamId, Upstream> upstreams = new TreeMap<>();
@@ -25,21 +25,21 @@
     private final UpstreamSubset subset;
 
     /**
-     * Makes an empty directory.
+     * Creates an empty directory.
      *
-     * @param subset chooses the upstreams that this entry keeps links to
+     * @param subset selects the upstreams that this entry keeps links to
      */
     public UpstreamDirectory(UpstreamSubset subset) {
         this.subset = subset;
     }
 
     /**
-     * Takes a new copy of the platform's list.
+     * Updates the directory with a new copy of the platform's list.
      *
      * @param all all VMs with a sidecar
-     * @return the changes of links that follow
+     * @return the resulting link changes
      */
-    public LinkChanges listed(Collection<ListedVm> all) {
+    public LinkChanges updateList(Collection<ListedVm> all) {
         List<ListedVm> list = subset.choose(all);
         List<UpstreamId> dial = new ArrayList<>();
         List<UpstreamId> drop = new ArrayList<>();
@@ -53,11 +53,11 @@
             }
         }
         upstreams.values().removeIf(u -> {
-            boolean gone = !present.contains(u.vm().id()) && !u.isLinked();
-            if (gone) {
+            boolean isGone = !present.contains(u.vm().id()) && !u.isLinked();
+            if (isGone) {
                 drop.add(u.vm().id());
             }
-            return gone;
+            return isGone;
         });
         byService.clear();
         upstreams
@@ -69,71 +69,71 @@
     }
 
     /**
-     * Learns that a link is up.
+     * Marks the link to an upstream as up.
      *
-     * @param id the upstream
+     * @param id link address of the upstream's sidecar
      */
-    public void linkUp(UpstreamId id) {
-        find(id).ifPresent(Upstream::linkUp);
+    public void markLinkUp(UpstreamId id) {
+        find(id).ifPresent(Upstream::markLinkUp);
     }
 
     /**
-     * Learns that a link is down.
+     * Marks the link to an upstream as down and discards its report.
      *
-     * @param id the upstream
+     * @param id link address of the upstream's sidecar
      */
-    public void linkDown(UpstreamId id) {
-        find(id).ifPresent(Upstream::linkDown);
+    public void markLinkDown(UpstreamId id) {
+        find(id).ifPresent(Upstream::markLinkDown);
     }
 
     /**
-     * Learns a sidecar's own word.
+     * Updates the report of a sidecar.
      *
-     * @param id the upstream
-     * @param report what its sidecar says
+     * @param id link address of the upstream's sidecar
+     * @param report the newest report of its sidecar
      */
-    public void reported(UpstreamId id, SidecarReport report) {
-        find(id).ifPresent(u -> u.reported(report));
+    public void updateReport(UpstreamId id, SidecarReport report) {
+        find(id).ifPresent(u -> u.updateReport(report));
     }
 
     /**
-     * Counts an attempt sent.
+     * Records an attempt that was sent to an upstream.
      *
-     * @param id the upstream
-     * @param urgency class of the request
+     * @param id link address of the upstream's sidecar
+     * @param urgency urgency class of the request
      */
-    public void sent(UpstreamId id, Urgency urgency) {
-        find(id).ifPresent(u -> u.sent(urgency));
+    public void recordSent(UpstreamId id, Urgency urgency) {
+        find(id).ifPresent(u -> u.recordSent(urgency));
     }
 
     /**
-     * Counts an attempt ended.
+     * Records the end of an attempt and updates the health of the upstream.
      *
-     * @param id the upstream
-     * @param urgency class of the request
-     * @param failed whether the upstream is to blame
+     * @param id link address of the upstream's sidecar
+     * @param urgency urgency class of the request
+     * @param hasFailed whether the attempt failed because of the upstream
      */
-    public void ended(UpstreamId id, Urgency urgency, boolean failed) {
-        find(id).ifPresent(u -> u.ended(urgency, failed));
+    public void recordEnded(UpstreamId id, Urgency urgency, boolean hasFailed) {
+        find(id).ifPresent(u -> u.recordEnded(urgency, hasFailed));
     }
 
     /**
-     * Finds one upstream.
+     * Returns the upstream with a link address.
      *
-     * @param id where its sidecar listens
-     * @return the upstream, if known
+     * @param id link address of its sidecar
+     * @return the upstream, or empty if it is unknown
      */
     public Optional<Upstream> find(UpstreamId id) {
         return Optional.ofNullable(upstreams.get(id));
     }
 
     /**
-     * Lists the upstreams of a service that take new work.
+     * Returns the upstreams of a service that accept new requests.
      *
      * @param service name of the service
-     * @return the upstreams in the order of their addresses
+     * @return the upstreams, ordered by address
      */
-    public List<Upstream> accepting(String service) {
+    public List<Upstream> acceptingUpstreams(String service) {
         List<Upstream> accepting = new ArrayList<>();
         for (Upstream u : byService.getOrDefault(service, List.of())) {
             if (u.isAccepting()) {
@@ -144,23 +144,23 @@
     }
 
     /**
-     * Returns the number of upstreams known.
+     * Returns the number of known upstreams.
      *
-     * @return count
+     * @return number of upstreams
      */
     public int size() {
         return upstreams.size();
     }
 
     /**
-     * Links to make and to end after a new list. Immutable.
+     * Links to open and to close after an update of the list. Immutable.
      *
      * @param dial upstreams to connect to
-     * @param drop upstreams to forget
+     * @param drop upstreams that were removed from the directory
      */
     public record LinkChanges(List<UpstreamId> dial, List<UpstreamId> drop) {
 
-        /** Copies the lists. */
+        /** Creates changes with copies of the lists. */
         public LinkChanges {
             dial = List.copyOf(dial);
             drop = List.copyOf(drop);
--- a/core/src/main/java/org/citrontide/core/membership/UpstreamId.java
+++ b/core/src/main/java/org/citrontide/core/membership/UpstreamId.java
@@ -1,10 +1,10 @@
 package org.citrontide.core.membership;
 
 /**
- * Where the sidecar of one upstream listens. Immutable.
+ * Link address of the sidecar of an upstream, which identifies the upstream. Immutable.
  *
- * @param host IP number
- * @param port TCP port of the link
+ * @param host IP address
+ * @param port TCP port on which the sidecar accepts links
  */
 public record UpstreamId(String host, int port) implements Comparable<UpstreamId> {
     @Override
--- a/core/src/main/java/org/citrontide/core/membership/UpstreamSubset.java
+++ b/core/src/main/java/org/citrontide/core/membership/UpstreamSubset.java
@@ -11,14 +11,16 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Chooses the upstreams that one entry keeps links to, because links to all would cost more than control may.
+ * Selects the subset of upstreams that one entry keeps links to, because links to all of them would exceed the cost
+ * allowed for control.
  *
- * <p>Each service gets an equal part of the links, and at least {@value #LEAST_PER_SERVICE}. Upstreams of the own zone
- * get three quarters of a service's part. Within a zone the highest rendezvous hashes of entry and upstream are taken,
- * so that a change of the list changes few links and upstreams get about equally many. Immutable.
+ * <p>Each service gets an equal share of the links, and at least {@value #MIN_LINKS_PER_SERVICE}. Three quarters of the
+ * links of a service go to upstreams in the entry's own zone. Within a zone, the upstreams with the highest
+ * rendezvous hashes of entry and upstream are selected, so that a change of the list changes few links and all
+ * upstreams get about the same number of links. Immutable.
  */
 public final class UpstreamSubset {
-    private static final int LEAST_PER_SERVICE = 4;
+    private static final int MIN_LINKS_PER_SERVICE = 4;
     private static final int OWN_ZONE_NUMERATOR = 3;
     private static final int OWN_ZONE_DENOMINATOR = 4;
 
@@ -27,11 +29,11 @@
     private final int maxLinks;
 
     /**
-     * Makes a chooser.
+     * Creates a selection for one entry.
      *
      * @param vm name of the entry's VM
      * @param zone the entry's availability zone
-     * @param maxLinks links wanted in all
+     * @param maxLinks target number of links over all services
      */
     public UpstreamSubset(String vm, String zone, int maxLinks) {
         this.vm = vm;
@@ -40,36 +42,36 @@
     }
 
     /**
-     * Chooses among all upstreams.
+     * Selects the upstreams to keep links to.
      *
-     * @param all the platform's list
-     * @return the lines of those to keep links to
+     * @param all the platform's list of upstreams
+     * @return the selected upstreams
      */
     public List<ListedVm> choose(Collection<ListedVm> all) {
         Map<String, List<ListedVm>> byService = new TreeMap<>();
         all.forEach(v ->
                 byService.computeIfAbsent(v.service(), s -> new ArrayList<>()).add(v));
-        int perService = Math.max(LEAST_PER_SERVICE, maxLinks / Math.max(1, byService.size()));
+        int perService = Math.max(MIN_LINKS_PER_SERVICE, maxLinks / Math.max(1, byService.size()));
         List<ListedVm> chosen = new ArrayList<>();
-        byService.values().forEach(list -> chosen.addAll(chooseOf(list, perService)));
+        byService.values().forEach(list -> chosen.addAll(chooseForService(list, perService)));
         return chosen;
     }
 
-    private List<ListedVm> chooseOf(List<ListedVm> list, int most) {
+    private List<ListedVm> chooseForService(List<ListedVm> list, int maxCount) {
         List<ListedVm> own = new ArrayList<>();
         List<ListedVm> others = new ArrayList<>();
         list.forEach(v -> (v.zone().equals(zone) ? own : others).add(v));
-        int forOthers = Math.min(others.size(), most - most * OWN_ZONE_NUMERATOR / OWN_ZONE_DENOMINATOR);
-        int forOwn = Math.min(own.size(), most - forOthers);
-        List<ListedVm> chosen = new ArrayList<>(highest(own, forOwn));
-        chosen.addAll(highest(others, most - forOwn));
+        int otherCount = Math.min(others.size(), maxCount - maxCount * OWN_ZONE_NUMERATOR / OWN_ZONE_DENOMINATOR);
+        int ownCount = Math.min(own.size(), maxCount - otherCount);
+        List<ListedVm> chosen = new ArrayList<>(highestScored(own, ownCount));
+        chosen.addAll(highestScored(others, maxCount - ownCount));
         return chosen;
     }
 
-    private List<ListedVm> highest(List<ListedVm> list, int most) {
+    private List<ListedVm> highestScored(List<ListedVm> list, int maxCount) {
         return list.stream()
                 .sorted(Comparator.comparingLong(this::score).reversed())
-                .limit(most)
+                .limit(maxCount)
                 .toList();
     }
 
--- a/core/src/main/java/org/citrontide/core/membership/WatcherChoice.java
+++ b/core/src/main/java/org/citrontide/core/membership/WatcherSelector.java
@@ -6,19 +6,20 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Chooses the processes of a zone that watch the platform's service for all others.
+ * Selects the processes of a zone that watch the platform's service on behalf of all others.
  *
- * <p>Every process computes the same choice from the same list; while lists differ there may be a watcher more or one
- * less, which costs calls or seconds and nothing else. Stateless and safe for use by many threads.
+ * <p>Every process computes the same selection from the same list. While lists differ, there may be one watcher too
+ * many or too few, which costs only additional calls or a delay of seconds. Stateless and safe for use by multiple
+ * threads.
  */
-public final class WatcherChoice {
-    /** Watchers in each zone. */
+public final class WatcherSelector {
+    /** Number of watchers in each zone. */
     public static final int WATCHERS_PER_ZONE = 2;
 
-    private WatcherChoice() {}
+    private WatcherSelector() {}
 
     /**
-     * Says whether a VM is one of its zone's watchers.
+     * Returns whether a VM is one of the watchers of its zone.
      *
      * @param vm name of the VM
      * @param candidates names of all VMs in the zone that may watch
--- a/entry/src/main/java/org/citrontide/entry/daemon/EntryDaemon.java
+++ b/entry/src/main/java/org/citrontide/entry/daemon/EntryDaemon.java
@@ -11,7 +11,7 @@
 
 import org.citrontide.core.dispatch.DispatchEvent;
 import org.citrontide.core.membership.ListedVm;
-import org.citrontide.core.membership.WatcherChoice;
+import org.citrontide.core.membership.WatcherSelector;
 import org.citrontide.runtime.admin.AdminServer;
 import org.citrontide.runtime.log.EventLog;
 import org.citrontide.runtime.settings.ProcessSettings;
@@ -122,11 +122,11 @@
                 .forEach(l -> l.stream().filter(v -> !v.service().isEmpty()).forEach(upstreams::add));
         parts.dispatch().learn(new DispatchEvent.Listed(upstreams));
         List<String> entries = byZone.getOrDefault(settings.process().zone(), List.of()).stream()
-                .filter(v -> v.service().isEmpty() && !v.leaving())
+                .filter(v -> v.service().isEmpty() && !v.isLeaving())
                 .map(ListedVm::vm)
                 .toList();
         parts.configuration()
-                .setWatcher(WatcherChoice.isWatcher(settings.process().vm(), entries));
+                .setWatcher(WatcherSelector.isWatcher(settings.process().vm(), entries));
     }
 
     private void awaitStopped() {
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
@@ -290,7 +290,7 @@
     /** Reports go out on change; load changes wait for the gap, readiness never does. */
     private void reportChanges(long nowNanos) {
         SidecarReport r = gate.report();
-        boolean urgent = r.accepting() != lastReport.accepting();
+        boolean urgent = r.isAccepting() != lastReport.isAccepting();
         if (r.equals(lastReport) || (!urgent && nowNanos - lastReportNanos < REPORT_GAP_NANOS)) {
             return;
         }
@@ -306,7 +306,7 @@
 
     private static StatusReport encode(SidecarReport r) {
         return StatusReport.newBuilder()
-                .setAccepting(r.accepting())
+                .setAccepting(r.isAccepting())
                 .setRunning(r.running())
                 .setWaiting(r.waiting())
                 .setWaitMs(r.waitMillis())
