--- a/core/src/main/java/org/citrontide/core/dispatch/Dispatcher.java
+++ b/core/src/main/java/org/citrontide/core/dispatch/Dispatcher.java
@@ -195,7 +195,7 @@
             }
             List<Upstream> accepting = directory.acceptingUpstreams(r.service());
             Optional<Upstream> choice = r.bucket().isPresent()
-                    ? router.chooseHome(accepting, o.tried, r.bucket().get())
+                    ? router.chooseForBucket(accepting, o.tried, r.bucket().get())
                     : router.choose(accepting, o.tried, r.urgency());
             if (choice.isEmpty()) {
                 finish(o, new Verdict.NotRun(Reason.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER));
--- a/core/src/main/java/org/citrontide/core/routing/Router.java
+++ b/core/src/main/java/org/citrontide/core/routing/Router.java
@@ -16,11 +16,11 @@
 /**
  * Chooses the upstream of one attempt.
  *
- * <p>Invariants: an upstream that was tried before is chosen only if there is no other; the own availability zone goes
- * first, and another zone is used only where the own zone has no upstream left or its better choice is loaded more than
- * {@value #SPILL_LOAD} times its slots and another zone's is at most half as loaded. Keyed requests go to the upstream
- * with the highest rendezvous hash of the key's bucket, so that repeats meet. Not thread-safe; its randomness is passed
- * in.
+ * <p>Invariants: an upstream that was already tried is chosen only if there is no other. The entry's own availability
+ * zone is preferred: another zone is used only if the own zone has no upstream left, or if the better of two random
+ * upstreams has a load above {@value #SPILL_LOAD} per slot in the own zone and at most half of that load in the other
+ * zones. Requests with an idempotency key go to the upstream with the highest rendezvous hash of the key's bucket, so
+ * that repeated requests reach the same upstream. Not thread-safe; the source of randomness is passed in.
  */
 public final class Router {
     private static final double SPILL_LOAD = 2.0;
@@ -30,10 +30,10 @@
     private final RandomGenerator random;
 
     /**
-     * Makes a router.
+     * Creates a router.
      *
      * @param zone the entry's own availability zone
-     * @param random source of the two choices
+     * @param random source of randomness for choosing the better of two random upstreams
      */
     public Router(String zone, RandomGenerator random) {
         this.zone = zone;
@@ -41,12 +41,12 @@
     }
 
     /**
-     * Chooses among upstreams by load.
+     * Chooses an upstream by load, as the better of two random ones.
      *
-     * @param accepting upstreams that take work
-     * @param tried upstreams that already had an attempt of this request
-     * @param urgency class of the request
-     * @return the choice, or empty if there is no upstream
+     * @param accepting upstreams that accept new requests
+     * @param tried upstreams to which an attempt of this request was already sent
+     * @param urgency urgency class of the request
+     * @return the chosen upstream, or empty if there is none
      */
     public Optional<Upstream> choose(List<Upstream> accepting, Set<UpstreamId> tried, Urgency urgency) {
         List<Upstream> own = new ArrayList<>();
@@ -54,27 +54,28 @@
         for (Upstream u : untried(accepting, tried)) {
             (u.vm().zone().equals(zone) ? own : others).add(u);
         }
-        Optional<Upstream> near = betterOfTwo(own, urgency);
-        if (near.isEmpty()) {
+        Optional<Upstream> local = betterOfTwo(own, urgency);
+        if (local.isEmpty()) {
             return betterOfTwo(others, urgency);
         }
-        if (near.get().load(urgency) <= SPILL_LOAD) {
-            return near;
+        if (local.get().load(urgency) <= SPILL_LOAD) {
+            return local;
         }
         return betterOfTwo(others, urgency)
-                .filter(far -> far.load(urgency) * SPILL_GAIN <= near.get().load(urgency))
-                .or(() -> near);
+                .filter(remote ->
+                        remote.load(urgency) * SPILL_GAIN <= local.get().load(urgency))
+                .or(() -> local);
     }
 
     /**
-     * Chooses the home of an idempotency key's bucket.
+     * Chooses the upstream for the bucket of an idempotency key.
      *
-     * @param accepting upstreams that take work
-     * @param tried upstreams that already had an attempt of this request
+     * @param accepting upstreams that accept new requests
+     * @param tried upstreams to which an attempt of this request was already sent
      * @param bucket number of the key's bucket
-     * @return the choice, or empty if there is no upstream
+     * @return the chosen upstream, or empty if there is none
      */
-    public Optional<Upstream> chooseHome(List<Upstream> accepting, Set<UpstreamId> tried, int bucket) {
+    public Optional<Upstream> chooseForBucket(List<Upstream> accepting, Set<UpstreamId> tried, int bucket) {
         return untried(accepting, tried).stream()
                 .max(Comparator.comparingLong(u -> rendezvousScore(u.vm().id(), bucket)));
     }
