--- a/core/src/main/java/org/citrontide/core/dispatch/Dispatcher.java
+++ b/core/src/main/java/org/citrontide/core/dispatch/Dispatcher.java
@@ -19,7 +19,7 @@
 import org.citrontide.core.publication.Configuration;
 import org.citrontide.core.publication.ServiceFile;
 import org.citrontide.core.retry.RetryBudget;
-import org.citrontide.core.retry.RetryFacts;
+import org.citrontide.core.retry.RetryContext;
 import org.citrontide.core.retry.RetryPolicy;
 import org.citrontide.core.routing.Router;
 import org.citrontide.core.verdict.Reason;
@@ -175,7 +175,7 @@
                 refuse(r, Reason.UNKNOWN_SERVICE, Duration.ZERO);
                 return;
             }
-            budget(r.service()).firstAttempt(file.limits().retryPercent());
+            budget(r.service()).recordFirstAttempt(file.limits().retryPercent());
             OpenRequest o = new OpenRequest(r);
             open.put(r.id(), o);
             byDeadline.add(r);
@@ -307,8 +307,8 @@
                 finish(o, new Verdict.Completed(o.status));
                 return;
             }
-            RetryFacts facts = new RetryFacts(r.repeatable(), o.attempts, r.deadlineNanos());
-            if (RetryPolicy.isRetried(facts, outcome, budget(r.service()), nowNanos)) {
+            RetryContext facts = new RetryContext(r.repeatable(), o.attempts, r.deadlineNanos());
+            if (RetryPolicy.shouldRetry(facts, outcome, budget(r.service()), nowNanos)) {
                 retries++;
                 send(o);
                 return;
--- a/core/src/main/java/org/citrontide/core/retry/RetryBudget.java
+++ b/core/src/main/java/org/citrontide/core/retry/RetryBudget.java
@@ -1,32 +1,32 @@
 package org.citrontide.core.retry;
 
 /**
- * Bounds the retries of one service to a share of its recent first attempts.
+ * Limits the retries of one service to a percentage of its recent first attempts, by a token bucket.
  *
- * <p>Invariant: over any stretch of time, retries are at most the share of first attempts in it plus
- * {@value #RESERVE}. Not thread-safe.
+ * <p>Invariant: in any time interval, the number of retries is at most the allowed percentage of the first attempts in
+ * it plus {@value #MAX_TOKENS}. Not thread-safe.
  */
 public final class RetryBudget {
-    private static final double RESERVE = 10;
-    private static final double FULL_PERCENT = 100;
+    private static final double MAX_TOKENS = 10;
+    private static final double HUNDRED_PERCENT = 100;
 
-    private double tokens = RESERVE;
+    private double tokens = MAX_TOKENS;
 
     /**
-     * Counts a first attempt.
+     * Records a first attempt, which adds to the budget.
      *
-     * @param percent retries allowed per hundred first attempts
+     * @param percent number of retries allowed per hundred first attempts
      */
-    public void firstAttempt(int percent) {
-        tokens = Math.min(RESERVE, tokens + percent / FULL_PERCENT);
+    public void recordFirstAttempt(int percent) {
+        tokens = Math.min(MAX_TOKENS, tokens + percent / HUNDRED_PERCENT);
     }
 
     /**
-     * Takes the right to one retry.
+     * Takes one retry from the budget.
      *
-     * @return false if the budget is used up
+     * @return false if the budget is exhausted
      */
-    public boolean tryRetry() {
+    public boolean tryAcquire() {
         if (tokens < 1) {
             return false;
         }
--- a/core/src/main/java/org/citrontide/core/retry/RetryPolicy.java
+++ b/core/src/main/java/org/citrontide/core/retry/RetryPolicy.java
@@ -4,11 +4,12 @@
 import org.citrontide.core.verdict.Verdict;
 
 /**
- * Decides whether a failed attempt is followed by another one.
+ * Decides whether a failed attempt is retried.
  *
- * <p>Invariants: a request that must not be repeated is tried again only after {@link Verdict.NotRun}; nothing is tried
- * again past its deadline, outside the budget but for work handed back, or more than {@value #MAX_ATTEMPTS} times in
- * all. The answer given up on is final at once. Stateless and safe for use by many threads.
+ * <p>Invariants: a request that must not be repeated is retried only after {@link Verdict.NotRun}; no request is
+ * retried after its deadline or gets more than {@value #MAX_ATTEMPTS} attempts in all; a retry uses the budget unless a
+ * draining upstream returned the work. If a request is not retried, its verdict is final at once. Stateless and safe
+ * for use by multiple threads.
  */
 public final class RetryPolicy {
     private static final int MAX_ATTEMPTS = 4;
@@ -16,32 +17,32 @@
     private RetryPolicy() {}
 
     /**
-     * Decides what follows an attempt that did not complete.
+     * Returns whether to retry a request after an attempt.
      *
-     * @param facts the request
+     * @param context properties of the request
      * @param outcome verdict on the attempt
-     * @param budget retries allowed to the service; a token is taken if the answer is yes, unless the work was handed
-     * back
+     * @param budget retry budget of the service; a retry takes a token from it, unless a draining upstream returned the
+     * work
      * @param nowNanos monotonic time in ns
-     * @return true if the request is to be tried on another upstream
+     * @return true if the request should be sent to another upstream
      */
-    public static boolean isRetried(RetryFacts facts, Verdict outcome, RetryBudget budget, long nowNanos) {
-        boolean safe = switch (outcome) {
+    public static boolean shouldRetry(RetryContext context, Verdict outcome, RetryBudget budget, long nowNanos) {
+        boolean isSafe = switch (outcome) {
             case Verdict.Completed c -> false;
             case Verdict.NotRun n -> isTransient(n.reason());
-            case Verdict.MayHaveRun m -> facts.repeatable();
+            case Verdict.MayHaveRun m -> context.isRepeatable();
         };
-        if (!safe) {
+        if (!isSafe) {
             return false;
         }
-        if (facts.attempts() >= MAX_ATTEMPTS || nowNanos >= facts.deadlineNanos()) {
+        if (context.attempts() >= MAX_ATTEMPTS || nowNanos >= context.deadlineNanos()) {
             return false;
         }
-        return isHandedBack(outcome) || budget.tryRetry();
+        return isReturnedByDraining(outcome) || budget.tryAcquire();
     }
 
-    /** Work that a stopping upstream hands back is placed outside the budget: it comes once for each stop. */
-    private static boolean isHandedBack(Verdict outcome) {
+    /** Work that a draining upstream returns is retried outside the budget, because it occurs only once per stop. */
+    private static boolean isReturnedByDraining(Verdict outcome) {
         return outcome instanceof Verdict.NotRun n && n.reason() == Reason.DRAINING;
     }
 
