--- a/core/src/main/java/org/citrontide/core/expertmap/RankAction.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RankAction.java
@@ -1,34 +1,37 @@
 package org.citrontide.core.expertmap;
 
-/** What a rank's part in a change of map asks of its shell, in order. Immutable. */
+/**
+ * An action that {@link RankCommitProtocol} requests from its shell, which performs those of a transition in order.
+ * Immutable.
+ */
 public sealed interface RankAction {
 
     /**
-     * Have the engine load a map's weights beside those in use.
+     * Makes the engine load the weights of a map in addition to those in use.
      *
      * @param map the map
      */
-    record Load(MapId map) implements RankAction {}
+    record LoadWeights(MapId map) implements RankAction {}
 
     /**
-     * Hand the new state to the engine; what follows waits until the engine holds it.
+     * Stores the new state in the engine. The actions that follow wait until the engine has confirmed it.
      *
      * @param state the state
      */
-    record Keep(RankState state) implements RankAction {}
+    record Persist(RankState state) implements RankAction {}
 
     /**
-     * Tell this rank's vote to whoever asked and to all other ranks.
+     * Sends the vote of this rank to the requester and to all other ranks.
      *
      * @param map the proposed map
-     * @param accepted the vote
+     * @param accepted true if this rank accepts the proposal
      */
-    record Vote(MapId map, boolean accepted) implements RankAction {}
+    record SendVote(MapId map, boolean accepted) implements RankAction {}
 
     /**
-     * Ask the ranks whose votes are not known for them.
+     * Requests the votes of the ranks whose votes are unknown.
      *
      * @param proposal the proposal
      */
-    record AskVotes(MapProposal proposal) implements RankAction {}
+    record RequestVotes(MapProposal proposal) implements RankAction {}
 }
--- a/core/src/main/java/org/citrontide/core/expertmap/RankEvent.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RankEvent.java
@@ -1,42 +1,42 @@
 package org.citrontide.core.expertmap;
 
-/** What happens to a rank's part in a change of map. Immutable. */
+/** An event that {@link RankCommitProtocol} handles. Immutable. */
 public sealed interface RankEvent {
 
     /**
-     * The controller asks for a map's weights to be loaded.
+     * The controller requested that the weights of a map be loaded.
      *
      * @param map the map
      */
-    record Prepare(MapId map) implements RankEvent {}
+    record PrepareRequested(MapId map) implements RankEvent {}
 
     /**
-     * The engine has loaded a map's weights.
+     * The engine has loaded the weights of a map.
      *
      * @param map the map
      */
-    record Loaded(MapId map) implements RankEvent {}
+    record WeightsLoaded(MapId map) implements RankEvent {}
 
     /**
-     * The controller proposes, or another rank asks for this rank's vote.
+     * The controller sent a proposal, or another rank requested the vote of this rank on it.
      *
      * @param proposal the proposal
      */
-    record Proposed(MapProposal proposal) implements RankEvent {}
+    record ProposalReceived(MapProposal proposal) implements RankEvent {}
 
     /**
-     * Another rank's vote became known.
+     * The vote of another rank arrived.
      *
-     * @param rank the other rank
+     * @param rank number of the other rank
      * @param map the proposed map
-     * @param accepted its vote
+     * @param accepted true if the other rank accepts the proposal
      */
-    record VoteHeard(int rank, MapId map, boolean accepted) implements RankEvent {}
+    record VoteReceived(int rank, MapId map, boolean accepted) implements RankEvent {}
 
     /**
-     * The engine will soon have run all permitted steps.
+     * The engine is about to run out of permitted steps.
      *
-     * @param steps further steps wanted
+     * @param steps number of further steps requested
      */
-    record StepsWanted(int steps) implements RankEvent {}
+    record StepsRequested(int steps) implements RankEvent {}
 }
--- a/core/src/main/java/org/citrontide/core/expertmap/RankState.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RankState.java
@@ -6,25 +6,25 @@
 import java.util.TreeSet;
 
 /**
- * What the sidecar of one rank knows of its group's map. The engine holds a copy, from which a restarted sidecar goes
- * on. Immutable.
+ * State of the sidecar of one rank regarding the expert map of its group. The engine holds a copy, from which a
+ * restarted sidecar recovers. Immutable.
  *
  * @param rank number of the rank, from 0
- * @param ranks ranks in the group
+ * @param groupSize number of ranks in the group
  * @param switches the maps in force with their first steps, oldest first
- * @param permit last step that the engine may run
+ * @param permittedStep last step that the engine may run
  * @param lastVoted highest proposal that this rank voted on
  * @param prepared maps whose weights are loaded
- * @param open proposal that this rank accepted and whose outcome it does not know
+ * @param pendingVote proposal that this rank accepted and whose outcome it does not know
  */
 public record RankState(
         int rank,
-        int ranks,
-        List<Switch> switches,
-        long permit,
+        int groupSize,
+        List<MapSwitch> switches,
+        long permittedStep,
         MapId lastVoted,
         Set<MapId> prepared,
-        Optional<OpenVote> open) {
+        Optional<PendingVote> pendingVote) {
 
     /** Copies the collections. */
     public RankState {
@@ -33,39 +33,39 @@
     }
 
     /**
-     * A map in force from a step on. Immutable.
+     * A map and the first step in which it is in force. Immutable.
      *
      * @param step first step under the map
      * @param map the map
      */
-    public record Switch(long step, MapId map) {}
+    public record MapSwitch(long step, MapId map) {}
 
     /**
-     * An accepted proposal without a known outcome. Immutable.
+     * An accepted proposal whose outcome is unknown. Immutable.
      *
      * @param proposal the proposal
      * @param accepted ranks known to have accepted it
      */
-    public record OpenVote(MapProposal proposal, Set<Integer> accepted) {
+    public record PendingVote(MapProposal proposal, Set<Integer> accepted) {
 
         /** Copies the set. */
-        public OpenVote {
+        public PendingVote {
             accepted = Set.copyOf(accepted);
         }
     }
 
     /**
-     * Returns the state of a rank at the start of its group.
+     * Returns the state of a rank when its group forms.
      *
      * @param rank number of the rank
-     * @param ranks ranks in the group
-     * @return a state without permits
+     * @param groupSize number of ranks in the group
+     * @return a state in which no step is permitted
      */
-    public static RankState start(int rank, int ranks) {
+    public static RankState initial(int rank, int groupSize) {
         return new RankState(
                 rank,
-                ranks,
-                List.of(new Switch(0, MapId.FIRST)),
+                groupSize,
+                List.of(new MapSwitch(0, MapId.FIRST)),
                 -1,
                 MapId.FIRST,
                 Set.of(MapId.FIRST),
@@ -75,12 +75,12 @@
     /**
      * Returns the map that the engine uses in a step.
      *
-     * @param step a step up to the permit
+     * @param step a step up to the last permitted one
      * @return the map
      */
     public MapId mapAt(long step) {
         MapId map = switches.getFirst().map();
-        for (Switch s : switches) {
+        for (MapSwitch s : switches) {
             if (s.step() <= step) {
                 map = s.map();
             }
@@ -93,38 +93,38 @@
      *
      * @return the map of the last switch
      */
-    public MapId map() {
+    public MapId currentMap() {
         return switches.getLast().map();
     }
 
     /**
-     * Returns what a sidecar knows after a restart: what others said is forgotten.
+     * Returns the state that a sidecar recovers after a restart. Votes received from other ranks are not persisted.
      *
-     * @return this state with the votes of other ranks forgotten
+     * @return this state without the votes of other ranks
      */
-    public RankState restarted() {
-        return withOpen(open.map(o -> new OpenVote(o.proposal(), Set.of(rank))));
+    public RankState afterRestart() {
+        return withPendingVote(pendingVote.map(o -> new PendingVote(o.proposal(), Set.of(rank))));
     }
 
-    RankState withPermit(long newPermit) {
-        return new RankState(rank, ranks, switches, newPermit, lastVoted, prepared, open);
+    RankState withPermittedStep(long newPermittedStep) {
+        return new RankState(rank, groupSize, switches, newPermittedStep, lastVoted, prepared, pendingVote);
     }
 
     RankState withPrepared(MapId map) {
         Set<MapId> more = new TreeSet<>(prepared);
         more.add(map);
-        return new RankState(rank, ranks, switches, permit, lastVoted, more, open);
+        return new RankState(rank, groupSize, switches, permittedStep, lastVoted, more, pendingVote);
     }
 
-    RankState withVote(MapId voted, Optional<OpenVote> newOpen) {
-        return new RankState(rank, ranks, switches, permit, voted, prepared, newOpen);
+    RankState withVote(MapId voted, Optional<PendingVote> newPendingVote) {
+        return new RankState(rank, groupSize, switches, permittedStep, voted, prepared, newPendingVote);
     }
 
-    RankState withOpen(Optional<OpenVote> newOpen) {
-        return new RankState(rank, ranks, switches, permit, lastVoted, prepared, newOpen);
+    RankState withPendingVote(Optional<PendingVote> newPendingVote) {
+        return new RankState(rank, groupSize, switches, permittedStep, lastVoted, prepared, newPendingVote);
     }
 
-    RankState withSwitches(List<Switch> newSwitches) {
-        return new RankState(rank, ranks, newSwitches, permit, lastVoted, prepared, Optional.empty());
+    RankState withSwitches(List<MapSwitch> newSwitches) {
+        return new RankState(rank, groupSize, newSwitches, permittedStep, lastVoted, prepared, Optional.empty());
     }
 }
