--- a/core/src/main/java/org/citrontide/core/expertmap/Turn.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/EventContext.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * The handling of one event: its time and the actions that follow from it. Not thread-safe.
+ * The time of one event and the actions that handling it has produced so far. Not thread-safe.
  *
  * @param nowNanos monotonic time in ns
  * @param actions actions so far, in order
  */
-record Turn(long nowNanos, List<MapAction> actions) {
-    Turn(long nowNanos) {
+record EventContext(long nowNanos, List<MapAction> actions) {
+    EventContext(long nowNanos) {
         this(nowNanos, new ArrayList<>());
     }
 
@@ -18,7 +18,7 @@
         actions.add(action);
     }
 
-    void note(String event, String detail) {
-        add(new MapAction.Note(event, detail));
+    void log(String event, String detail) {
+        add(new MapAction.LogEvent(event, detail));
     }
 }
--- /dev/null
+++ b/core/src/main/java/org/citrontide/core/expertmap/GroupMapChange.java
@@ -0,0 +1,311 @@
+package org.citrontide.core.expertmap;
+
+import java.time.Duration;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+
+/**
+ * One change of the expert map of a group, from the first order until the new map is in force.
+ *
+ * <p>The steps are: prepare the map on every rank; wait until every rank reports it as prepared; hold a later pass on
+ * one rank; arm every rank for that pass; release the pass. Orders may be carried out late, so each is retried until it
+ * is answered. After the hold the change is not rolled back: a controller that finds it in progress arms the remaining
+ * ranks and releases the pass.
+ *
+ * <p>Invariants:
+ *
+ * <ul>
+ *   <li>A rank is armed only after every rank of the group has reported the map as prepared.
+ *   <li>The held pass is released only after every rank has confirmed that it is armed for it, or if no rank is armed.
+ * </ul>
+ *
+ * <p>Not thread-safe; it does no I/O and reads no clock.
+ */
+final class GroupMapChange {
+    // Upper bound of the lag of reports: a report read after this delay shows every state reached before it.
+    static final Duration REPORT_LAG = Duration.ofMillis(300);
+
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
+    // A rank copies its new experts in well under a second.
+    private static final Duration PREPARE_TIMEOUT = Duration.ofSeconds(4);
+    private static final Duration HOLD_TIMEOUT = Duration.ofSeconds(2);
+    private static final int MAX_REFUSED_HOLDS = 5;
+    private static final int EXTRA_STEPS_PER_REFUSAL = 2;
+
+    /** Progress of the change. */
+    enum State {
+        /** The ranks copy their new experts. */
+        PREPARING,
+        /** One rank is ordered to hold a pass. */
+        HOLDING,
+        /** All ranks are ordered to switch maps in the held pass. */
+        ARMING,
+        /** Ranks left armed by an earlier change are ordered to disarm. */
+        DISARMING,
+        /** The holder is ordered to release the pass. */
+        RELEASING,
+        /** The map is in force from the held pass on. */
+        IN_FORCE,
+        /** The change was abandoned, or another controller ended it: the state of the group must be read again. */
+        ENDED
+    }
+
+    private final List<String> ranks;
+    private final int epoch;
+    private final PassEstimator passEstimator;
+    private final RoundTimeEstimator roundTimeEstimator;
+    private final long version;
+    private final Optional<GroupMap> map;
+    private final OrderRound orders = new OrderRound();
+    private final Set<String> pendingReports = new HashSet<>();
+    private State state = State.PREPARING;
+    private long stateStartNanos;
+    private long nextPollNanos;
+    private String holder = "";
+    private long holdStep;
+    private int refusedHolds;
+    private boolean isArmedOnAll;
+
+    private GroupMapChange(
+            List<String> ranks,
+            int epoch,
+            PassEstimator passEstimator,
+            RoundTimeEstimator roundTimeEstimator,
+            long version,
+            Optional<GroupMap> map) {
+        this.ranks = ranks;
+        this.epoch = epoch;
+        this.passEstimator = passEstimator;
+        this.roundTimeEstimator = roundTimeEstimator;
+        this.version = version;
+        this.map = map;
+    }
+
+    /** Starts a change by ordering every rank to prepare the map. */
+    static GroupMapChange begin(
+            List<String> ranks,
+            int epoch,
+            PassEstimator passEstimator,
+            RoundTimeEstimator roundTimeEstimator,
+            GroupMap map,
+            Duration copyTime,
+            EventContext context) {
+        GroupMapChange c =
+                new GroupMapChange(ranks, epoch, passEstimator, roundTimeEstimator, map.version(), Optional.of(map));
+        c.enterState(State.PREPARING, ranks, context);
+        c.nextPollNanos = context.nowNanos() + copyTime.plus(POLL_INTERVAL).toNanos();
+        return c;
+    }
+
+    /** Resumes a change that a round of reports shows in progress, because some rank holds a pass. */
+    static GroupMapChange resume(
+            List<String> ranks,
+            int epoch,
+            PassEstimator passEstimator,
+            RoundTimeEstimator roundTimeEstimator,
+            GroupReports reports,
+            EventContext context) {
+        List<String> armed = reports.armedRanks(ranks);
+        Optional<Long> preparedVersion = reports.preparedOnAll(ranks);
+        long version = preparedVersion.orElseGet(
+                () -> armed.isEmpty() ? 0 : reports.of(armed.getFirst()).armed().orElseThrow());
+        GroupMapChange c =
+                new GroupMapChange(ranks, epoch, passEstimator, roundTimeEstimator, version, Optional.empty());
+        c.holder = reports.holdingRanks(ranks).getFirst();
+        c.holdStep = reports.of(c.holder).heldStep().orElseThrow();
+        context.log(
+                "map-change-found",
+                "version " + version + " pass " + c.holdStep + " armed " + armed.size() + " prepared on all "
+                        + preparedVersion.isPresent());
+        if (preparedVersion.isPresent()) {
+            c.startArming(context);
+        } else if (!armed.isEmpty()) {
+            c.enterState(State.DISARMING, armed, context);
+        } else {
+            c.enterState(State.RELEASING, List.of(c.holder), context);
+        }
+        return c;
+    }
+
+    State state() {
+        return state;
+    }
+
+    /** Returns the first pass under the new map, valid once all ranks are armed. */
+    long holdStep() {
+        return holdStep;
+    }
+
+    /** Returns whether this change may be holding the group. */
+    boolean isHolding() {
+        return switch (state) {
+            case HOLDING, ARMING, DISARMING, RELEASING -> true;
+            case PREPARING, IN_FORCE, ENDED -> false;
+        };
+    }
+
+    /** Handles the loss of leadership. A change that holds the group is still completed. */
+    void handleDeposed() {
+        // An unanswered hold order is left to the next controller, which may already have found it.
+        if (state == State.PREPARING || state == State.HOLDING) {
+            state = State.ENDED;
+        }
+    }
+
+    void tick(EventContext context) {
+        long timeInState = context.nowNanos() - stateStartNanos;
+        if (state == State.PREPARING && timeInState > PREPARE_TIMEOUT.toNanos()) {
+            context.log("map-change-abandoned", "version " + version + " not prepared on " + orders.pending());
+            state = State.ENDED;
+            return;
+        }
+        if (state == State.HOLDING && timeInState > HOLD_TIMEOUT.toNanos()) {
+            enterState(State.RELEASING, List.of(holder), context);
+            return;
+        }
+        for (String id : orders.takeRetries()) {
+            context.add(new MapAction.SendOrder(id, epoch, currentOrder()));
+        }
+        if (state == State.PREPARING || state == State.ARMING) {
+            pollReports(context);
+        }
+    }
+
+    void handleReport(String id, Optional<RankReport> report, EventContext context) {
+        pendingReports.remove(id);
+        if (report.isEmpty()) {
+            return;
+        }
+        RankReport r = report.get();
+        if (r.epoch() != epoch || !r.isOpen()) {
+            context.log("map-change-ended-by-group", "epoch " + r.epoch() + " open " + r.isOpen());
+            state = State.ENDED;
+            return;
+        }
+        if (state == State.PREPARING && r.prepared().isPresent() && r.prepared().getAsLong() == version) {
+            completeOrder(id, context);
+        }
+        if (state == State.ARMING) {
+            handleReportWhileArming(id, r, context);
+        }
+    }
+
+    /** Returns the upstream of the rank that holds the pass. */
+    String holder() {
+        return holder;
+    }
+
+    void handleOutcome(String id, RankOrder order, OrderOutcome outcome, EventContext context) {
+        if (!orders.isPending(id) || !order.equals(currentOrder())) {
+            return;
+        }
+        if (outcome == OrderOutcome.UNANSWERED) {
+            orders.retry(id);
+        } else if (outcome == OrderOutcome.REFUSED) {
+            handleRefusal(id, context);
+        } else if (state != State.PREPARING) {
+            // A reply to prepare does not imply that the copy is complete; the report shows that.
+            completeOrder(id, context);
+        }
+    }
+
+    private RankOrder currentOrder() {
+        return switch (state) {
+            case PREPARING -> new RankOrder.Prepare(map.orElseThrow());
+            case HOLDING -> new RankOrder.Hold(holdStep);
+            case ARMING -> new RankOrder.Arm(version, holdStep);
+            case DISARMING -> new RankOrder.Disarm(version);
+            case RELEASING, IN_FORCE, ENDED -> new RankOrder.Go(holdStep);
+        };
+    }
+
+    private void enterState(State s, List<String> targets, EventContext context) {
+        state = s;
+        stateStartNanos = context.nowNanos();
+        nextPollNanos = context.nowNanos();
+        pendingReports.clear();
+        orders.start(targets);
+        targets.forEach(id -> context.add(new MapAction.SendOrder(id, epoch, currentOrder())));
+    }
+
+    private void startHold(int extraSteps, EventContext context) {
+        holdStep = passEstimator.stepAfter(roundTimeEstimator.roundTime(ranks.size()), context.nowNanos()) + extraSteps;
+        holder = ranks.get((int) (holdStep % ranks.size()));
+        enterState(State.HOLDING, List.of(holder), context);
+    }
+
+    private void startArming(EventContext context) {
+        enterState(State.ARMING, ranks, context);
+        nextPollNanos = context.nowNanos() + REPORT_LAG.toNanos();
+    }
+
+    private void pollReports(EventContext context) {
+        if (context.nowNanos() < nextPollNanos) {
+            return;
+        }
+        nextPollNanos = context.nowNanos() + POLL_INTERVAL.toNanos();
+        for (String id : orders.pending()) {
+            if (pendingReports.add(id)) {
+                context.add(new MapAction.ReadReport(id));
+            }
+        }
+    }
+
+    private void handleReportWhileArming(String id, RankReport r, EventContext context) {
+        if (r.step() >= holdStep) {
+            context.log("map-change-ended-by-other", "version " + version + " pass " + holdStep);
+            state = State.ENDED;
+            return;
+        }
+        if (orders.isPending(id) && r.armed().isPresent() && r.armed().getAsLong() == version) {
+            completeOrder(id, context);
+        }
+    }
+
+    private void handleRefusal(String id, EventContext context) {
+        switch (state) {
+            case PREPARING, IN_FORCE, ENDED -> {
+                // The rank already has the version, or the group has formed again; the report shows which.
+            }
+            case HOLDING -> handleHoldRefusal(context);
+            case ARMING -> orders.retry(id);
+            case DISARMING, RELEASING -> completeOrder(id, context);
+            default -> throw new IllegalStateException("unknown state " + state);
+        }
+    }
+
+    /** Retries the hold on a later pass: the pass has already started, or the group has formed again. */
+    private void handleHoldRefusal(EventContext context) {
+        refusedHolds++;
+        passEstimator.advanceTo(holdStep, context.nowNanos());
+        if (refusedHolds > MAX_REFUSED_HOLDS) {
+            state = State.ENDED;
+        } else {
+            startHold(refusedHolds * EXTRA_STEPS_PER_REFUSAL, context);
+        }
+    }
+
+    private void completeOrder(String id, EventContext context) {
+        orders.complete(id);
+        if (!orders.isComplete()) {
+            return;
+        }
+        switch (state) {
+            case PREPARING -> startHold(0, context);
+            case HOLDING -> startArming(context);
+            case ARMING -> {
+                isArmedOnAll = true;
+                context.log("map-change-armed", "version " + version + " pass " + holdStep);
+                enterState(State.RELEASING, List.of(holder), context);
+            }
+            case DISARMING -> enterState(State.RELEASING, List.of(holder), context);
+            case RELEASING -> state = isArmedOnAll && map.isPresent() ? State.IN_FORCE : State.ENDED;
+            case IN_FORCE, ENDED -> {
+                // No orders are in flight.
+            }
+            default -> throw new IllegalStateException("unknown state " + state);
+        }
+    }
+}
--- a/core/src/main/java/org/citrontide/core/expertmap/GroupMapController.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/GroupMapController.java
@@ -11,203 +11,203 @@
 import org.citrontide.core.routes.EngineProfile;
 
 /**
- * Keeps the expert map of one group close to the demand while this process is elected.
+ * Adapts the expert map of one group to the demand while this process is the elected leader.
  *
- * <p>Invariants: a group is looked at in full, and a change that is found under way is finished, before a new one
- * begins; one change is under way at a time; a version of a map is used by one term only.
+ * <p>Invariants: before a new change starts, the reports of all ranks are read, and a change found in progress is
+ * completed; at most one change is in progress at a time; a map version is used in one term only.
  *
- * <p>Not thread-safe: one thread owns it. It does no I/O and reads no clock.
+ * <p>Not thread-safe: confined to one thread. It does no I/O and reads no clock.
  */
 public final class GroupMapController {
-    // The first difference of counts follows soon, because a new controller knows nothing of the demand.
-    private static final Duration FIRST_INTERVAL = Duration.ofMillis(150);
+    // Short, because a new controller knows nothing of the demand until it has read the counts twice.
+    private static final Duration INITIAL_SAMPLE_INTERVAL = Duration.ofMillis(150);
     private static final Duration OBSERVE_INTERVAL = Duration.ofMillis(250);
-    // Reports lag by about twice this.
-    private static final Duration STALE_INTERVAL = Duration.ofMillis(100);
-    private static final int MAX_STALE_ROUNDS = 10;
-    private static final Duration AFTER_CHANGE = Duration.ofMillis(100);
-    private static final Duration ANSWER_LIMIT = Duration.ofSeconds(4);
+    // Reports lag by about twice this interval.
+    private static final Duration STALE_REPORT_INTERVAL = Duration.ofMillis(100);
+    private static final int MAX_STALE_REPORT_ROUNDS = 10;
+    private static final Duration DELAY_AFTER_CHANGE = Duration.ofMillis(100);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(4);
     private static final int SAMPLED_RANKS = 2;
-    private static final int MISSES_TO_OBSERVE = 2;
+    private static final int MAX_FAILED_READS = 2;
+    // Neither of the two sampled ranks reported a new pass: the group may be idle, and a report costs less than counts.
+    private static final int UNCHANGED_READS_TO_IDLE = 2;
     // About three seconds without a pass: the group is idle or held.
-    // Both sampled ranks told of no new pass: the group may be idle, and a report costs less than counts.
-    private static final int STILL_READS_TO_SAVE = 2;
-    private static final int STILL_READS_TO_OBSERVE = 12;
-    // A group that is idle begins no pass for a long time.
-    private static final int MANY_WAITS = 8;
+    private static final int UNCHANGED_READS_TO_OBSERVE = 12;
+    // An idle group starts no pass for a long time: after this many waits the usual sample interval applies again.
+    private static final int MAX_PASS_WAITS = 8;
     private static final int VERSIONS_PER_TERM = 1_000_000;
 
     private enum Phase {
         IDLE,
         OBSERVING,
-        LISTING,
+        READING_EXPERTS,
         SAMPLING,
-        PLANNING,
+        SEARCHING,
         CHANGING
     }
 
     private final EngineProfile profile;
     private List<String> members = List.of();
-    private boolean elected;
+    private boolean isElected;
     private long term;
-    private int changes;
+    private int searchesInTerm;
     private Phase phase = Phase.IDLE;
-    private long phaseNanos;
-    private long dueNanos;
-    private final Set<String> reading = new HashSet<>();
+    private long phaseStartNanos;
+    private long nextActionNanos;
+    private final Set<String> pendingReads = new HashSet<>();
     private final GroupReports reports = new GroupReports();
-    private final Map<Integer, int[][]> lists = new TreeMap<>();
+    private final Map<Integer, int[][]> expertsByRank = new TreeMap<>();
     private List<String> ranks = List.of();
     private int epoch;
-    private int newestEpoch;
-    private int staleRounds;
-    private final PassClock passes = new PassClock();
-    private final AnswerRate answers = new AnswerRate();
+    private int newestSeenEpoch;
+    private int staleReportRounds;
+    private final PassEstimator passEstimator = new PassEstimator();
+    private final RoundTimeEstimator roundTimeEstimator = new RoundTimeEstimator();
     private Duration targetGap = Duration.ZERO;
     private Optional<MapDecision> decision = Optional.empty();
     private Optional<GroupMap> current = Optional.empty();
     private Optional<GroupMap> next = Optional.empty();
-    private Optional<GroupChange> change = Optional.empty();
-    private long inForceFrom;
+    private Optional<GroupMapChange> change = Optional.empty();
+    private long inForceStep;
     private String lastHolder = "";
-    private int waits;
-    private int misses;
-    private long speedsDueNanos;
+    private int passWaits;
+    private int failedReads;
+    private long nextSpeedReadNanos;
 
     /**
-     * Makes a controller of the group of one service.
+     * Creates a controller for the group of one service.
      *
-     * @param profile sizes and speeds of its engines
+     * @param profile sizes and speeds of the engines of the service
      */
     public GroupMapController(EngineProfile profile) {
         this.profile = profile;
     }
 
     /**
-     * Takes one event.
+     * Handles an event.
      *
-     * @param event what happened
+     * @param event the event to handle
      * @param nowNanos monotonic time in ns
-     * @return what the shell must do, in order
+     * @return the actions for the shell, in order
      */
-    public List<MapAction> on(MapEvent event, long nowNanos) {
-        Turn turn = new Turn(nowNanos);
+    public List<MapAction> handle(MapEvent event, long nowNanos) {
+        EventContext context = new EventContext(nowNanos);
         switch (event) {
             case MapEvent.Elected e -> {
-                elected = true;
+                isElected = true;
                 term = e.term();
-                changes = 0;
+                searchesInTerm = 0;
             }
-            case MapEvent.Deposed d -> deposed(turn);
-            case MapEvent.Members m -> members = m.upstreams();
-            case MapEvent.Targeted t -> targetGap = t.targetGap();
-            case MapEvent.Reported r -> reported(r, turn);
-            case MapEvent.Listed l -> listed(l, turn);
-            case MapEvent.Counted c -> counted(c, turn);
-            case MapEvent.Replied r -> {
-                answers.note(r.reply() != RankReply.UNANSWERED);
-                change.ifPresent(c -> c.replied(r.upstream(), r.order(), r.reply(), turn));
+            case MapEvent.Deposed d -> handleDeposed(context);
+            case MapEvent.MembersChanged m -> members = m.upstreams();
+            case MapEvent.TargetGapChanged t -> targetGap = t.targetGap();
+            case MapEvent.ReportRead r -> handleReport(r, context);
+            case MapEvent.ExpertsRead e -> handleExperts(e, context);
+            case MapEvent.CountsRead c -> handleCounts(c, context);
+            case MapEvent.OrderEnded r -> {
+                roundTimeEstimator.recordOrder(r.outcome() != OrderOutcome.UNANSWERED);
+                change.ifPresent(c -> c.handleOutcome(r.upstream(), r.order(), r.outcome(), context));
             }
-            case MapEvent.Planned p -> planned(p.map(), turn);
-            case MapEvent.Tick t -> tick(turn);
+            case MapEvent.SearchEnded s -> handleFoundMap(s.map(), context);
+            case MapEvent.Tick t -> tick(context);
         }
-        change.ifPresent(c -> afterChange(c, turn));
-        return turn.actions();
+        change.ifPresent(c -> handleChangeState(c, context));
+        return context.actions();
     }
 
     /**
-     * Says whether a change is under way that holds the group or may hold it.
+     * Returns whether a change in progress holds the group or may hold it.
      *
-     * @return true if the process should not end now
+     * @return true if the process should not exit yet
      */
     public boolean isHolding() {
-        return change.map(GroupChange::isHolding).orElse(false);
+        return change.map(GroupMapChange::isHolding).orElse(false);
     }
 
-    private void deposed(Turn turn) {
-        elected = false;
-        change.ifPresent(GroupChange::deposed);
+    private void handleDeposed(EventContext context) {
+        isElected = false;
+        change.ifPresent(GroupMapChange::handleDeposed);
         if (!isHolding()) {
             change = Optional.empty();
-            enter(Phase.IDLE, turn);
+            enterPhase(Phase.IDLE, context);
         }
     }
 
-    private void enter(Phase p, Turn turn) {
+    private void enterPhase(Phase p, EventContext context) {
         phase = p;
-        phaseNanos = turn.nowNanos();
-        dueNanos = turn.nowNanos();
-        reading.clear();
+        phaseStartNanos = context.nowNanos();
+        nextActionNanos = context.nowNanos();
+        pendingReads.clear();
     }
 
-    private void tick(Turn turn) {
+    private void tick(EventContext context) {
         switch (phase) {
             case IDLE -> {
-                if (elected && !members.isEmpty()) {
-                    observe(Duration.ZERO, turn);
+                if (isElected && !members.isEmpty()) {
+                    startObserving(Duration.ZERO, context);
                 }
             }
             case OBSERVING -> {
-                if (reading.isEmpty() && turn.nowNanos() >= dueNanos) {
-                    readAllReports(turn);
+                if (pendingReads.isEmpty() && context.nowNanos() >= nextActionNanos) {
+                    readAllReports(context);
                 }
             }
-            case SAMPLING -> sample(turn);
-            case CHANGING -> change.ifPresent(c -> c.tick(turn));
-            case LISTING, PLANNING -> {
-                if (turn.nowNanos() - phaseNanos > ANSWER_LIMIT.toNanos()) {
-                    observe(Duration.ZERO, turn);
+            case SAMPLING -> readSamples(context);
+            case CHANGING -> change.ifPresent(c -> c.tick(context));
+            case READING_EXPERTS, SEARCHING -> {
+                if (context.nowNanos() - phaseStartNanos > RESPONSE_TIMEOUT.toNanos()) {
+                    startObserving(Duration.ZERO, context);
                 }
             }
             default -> throw new IllegalStateException("unknown phase " + phase);
         }
     }
 
-    private void observe(Duration after, Turn turn) {
-        enter(elected ? Phase.OBSERVING : Phase.IDLE, turn);
-        dueNanos = turn.nowNanos() + after.toNanos();
+    private void startObserving(Duration after, EventContext context) {
+        enterPhase(isElected ? Phase.OBSERVING : Phase.IDLE, context);
+        nextActionNanos = context.nowNanos() + after.toNanos();
     }
 
-    private void readAllReports(Turn turn) {
+    private void readAllReports(EventContext context) {
         reports.clear();
         for (String m : members) {
-            reading.add(m);
-            turn.add(new MapAction.ReadReport(m));
+            pendingReads.add(m);
+            context.add(new MapAction.ReadReport(m));
         }
-        dueNanos = turn.nowNanos() + OBSERVE_INTERVAL.toNanos();
+        nextActionNanos = context.nowNanos() + OBSERVE_INTERVAL.toNanos();
     }
 
-    private void reported(MapEvent.Reported r, Turn turn) {
-        change.ifPresent(c -> c.reported(r.upstream(), r.report(), turn));
-        r.report().ifPresent(x -> noteSpeed(r.upstream(), x));
+    private void handleReport(MapEvent.ReportRead r, EventContext context) {
+        change.ifPresent(c -> c.handleReport(r.upstream(), r.report(), context));
+        r.report().ifPresent(x -> recordSpeed(r.upstream(), x));
         if (isIdle()) {
-            awaken(r, turn);
+            checkForNewPass(r, context);
         }
-        if (phase != Phase.OBSERVING || !reading.remove(r.upstream())) {
+        if (phase != Phase.OBSERVING || !pendingReads.remove(r.upstream())) {
             return;
         }
         r.report().ifPresent(x -> reports.add(r.upstream(), x));
-        if (reading.isEmpty()) {
-            observed(turn);
+        if (pendingReads.isEmpty()) {
+            evaluateReports(context);
         }
     }
 
     private boolean isIdle() {
-        return phase == Phase.SAMPLING && passes.still() >= STILL_READS_TO_SAVE;
+        return phase == Phase.SAMPLING && passEstimator.unchangedReads() >= UNCHANGED_READS_TO_IDLE;
     }
 
-    /** Looks for a new pass of an idle group in the report of one rank. */
-    private void awaken(MapEvent.Reported r, Turn turn) {
-        Optional<RankReport> report = r.report().filter(x -> x.open() && x.epoch() == epoch);
-        report.ifPresent(x -> passes.note(x.step(), turn.nowNanos()));
-        if (report.isEmpty() || passes.still() >= STILL_READS_TO_OBSERVE) {
-            observe(Duration.ZERO, turn);
+    /** Checks the report of one rank of an idle group for a new pass. */
+    private void checkForNewPass(MapEvent.ReportRead r, EventContext context) {
+        Optional<RankReport> report = r.report().filter(x -> x.isOpen() && x.epoch() == epoch);
+        report.ifPresent(x -> passEstimator.recordStep(x.step(), context.nowNanos()));
+        if (report.isEmpty() || passEstimator.unchangedReads() >= UNCHANGED_READS_TO_OBSERVE) {
+            startObserving(Duration.ZERO, context);
         } else if (!isIdle()) {
-            dueNanos = turn.nowNanos();
+            nextActionNanos = context.nowNanos();
         }
     }
 
-    private void noteSpeed(String upstream, RankReport r) {
+    private void recordSpeed(String upstream, RankReport r) {
         int rank = ranks.indexOf(upstream);
         if (rank >= 0 && r.epoch() == epoch) {
             decision.ifPresent(d -> d.rankRuns(rank, speed(r)));
@@ -218,29 +218,31 @@
         return 1 / Math.max(1, r.slowness());
     }
 
-    /** Looks for a complete group in a whole round of reports, and for what an earlier controller left. */
-    private void observed(Turn turn) {
-        Optional<List<String>> whole = reports.wholeGroup();
-        if (whole.isEmpty()) {
+    /** Evaluates a full round of reports: looks for a complete group and for a change that was left unfinished. */
+    private void evaluateReports(EventContext context) {
+        Optional<List<String>> completeGroup = reports.completeGroup();
+        if (completeGroup.isEmpty()) {
             return;
         }
-        if (reports.of(whole.get().getFirst()).epoch() < newestEpoch && staleRounds < MAX_STALE_ROUNDS) {
-            staleRounds++;
-            dueNanos = turn.nowNanos() + STALE_INTERVAL.toNanos();
+        if (reports.of(completeGroup.get().getFirst()).epoch() < newestSeenEpoch
+                && staleReportRounds < MAX_STALE_REPORT_ROUNDS) {
+            staleReportRounds++;
+            nextActionNanos = context.nowNanos() + STALE_REPORT_INTERVAL.toNanos();
             return;
         }
-        staleRounds = 0;
-        newestEpoch = 0;
-        adopt(whole.get(), turn);
-        if (!reports.holding(ranks).isEmpty()) {
-            enter(Phase.CHANGING, turn);
+        staleReportRounds = 0;
+        newestSeenEpoch = 0;
+        adoptGroup(completeGroup.get(), context);
+        if (!reports.holdingRanks(ranks).isEmpty()) {
+            enterPhase(Phase.CHANGING, context);
             next = Optional.empty();
-            change = Optional.of(GroupChange.resume(ranks, epoch, passes, answers, reports, turn));
+            change = Optional.of(
+                    GroupMapChange.resume(ranks, epoch, passEstimator, roundTimeEstimator, reports, context));
             return;
         }
         Set<Long> versions = reports.versionsInForce(ranks);
-        if (versions.size() > 1 || !reports.armed(ranks).isEmpty()) {
-            // A change is about to be in force: look again.
+        if (versions.size() > 1 || !reports.armedRanks(ranks).isEmpty()) {
+            // A change is about to be in force: read the reports again.
             return;
         }
         long inForce = versions.iterator().next();
@@ -248,76 +250,77 @@
             current = Optional.of(GroupMap.initial(profile.sets(), profile.experts(), ranks.size()));
         }
         if (current.isPresent() && current.get().version() == inForce) {
-            beginSampling(Duration.ZERO, turn);
+            startSampling(Duration.ZERO, context);
         } else {
-            list(turn);
+            readExperts(context);
         }
     }
 
-    private void adopt(List<String> ids, Turn turn) {
+    private void adoptGroup(List<String> ids, EventContext context) {
         ranks = ids;
         RankReport first = reports.of(ids.getFirst());
         double[] speeds = ids.stream().mapToDouble(id -> speed(reports.of(id))).toArray();
-        passes.reset(first.step(), turn.nowNanos());
-        inForceFrom = 0;
+        passEstimator.reset(first.step(), context.nowNanos());
+        inForceStep = 0;
         if (first.epoch() != epoch) {
             epoch = first.epoch();
             current = Optional.empty();
             decision.ifPresent(MapDecision::countsBeginAnew);
         }
         if (decision.isEmpty()) {
-            decision = Optional.of(new MapDecision(profile, turn.nowNanos()));
+            decision = Optional.of(new MapDecision(profile, context.nowNanos()));
         }
         decision.get().ranksRun(speeds);
     }
 
-    private void list(Turn turn) {
-        enter(Phase.LISTING, turn);
-        lists.clear();
-        ranks.forEach(id -> turn.add(new MapAction.ReadExperts(id)));
+    private void readExperts(EventContext context) {
+        enterPhase(Phase.READING_EXPERTS, context);
+        expertsByRank.clear();
+        ranks.forEach(id -> context.add(new MapAction.ReadExperts(id)));
     }
 
-    private void listed(MapEvent.Listed l, Turn turn) {
-        if (phase != Phase.LISTING) {
+    private void handleExperts(MapEvent.ExpertsRead e, EventContext context) {
+        if (phase != Phase.READING_EXPERTS) {
             return;
         }
-        int rank = ranks.indexOf(l.upstream());
-        if (rank < 0 || l.experts().isEmpty()) {
-            observe(OBSERVE_INTERVAL, turn);
+        int rank = ranks.indexOf(e.upstream());
+        if (rank < 0 || e.experts().isEmpty()) {
+            startObserving(OBSERVE_INTERVAL, context);
             return;
         }
-        lists.put(rank, l.experts().get());
-        if (lists.size() == ranks.size()) {
-            current = Optional.of(GroupMap.ofLists(l.version(), List.copyOf(lists.values()), profile.experts()));
-            beginSampling(Duration.ZERO, turn);
+        expertsByRank.put(rank, e.experts().get());
+        if (expertsByRank.size() == ranks.size()) {
+            current =
+                    Optional.of(GroupMap.ofLists(e.version(), List.copyOf(expertsByRank.values()), profile.experts()));
+            startSampling(Duration.ZERO, context);
         }
     }
 
-    private void beginSampling(Duration after, Turn turn) {
-        enter(Phase.SAMPLING, turn);
-        dueNanos = turn.nowNanos() + after.toNanos();
-        misses = 0;
+    private void startSampling(Duration after, EventContext context) {
+        enterPhase(Phase.SAMPLING, context);
+        nextActionNanos = context.nowNanos() + after.toNanos();
+        failedReads = 0;
     }
 
-    private void sample(Turn turn) {
-        if (turn.nowNanos() < dueNanos) {
+    private void readSamples(EventContext context) {
+        if (context.nowNanos() < nextActionNanos) {
             return;
         }
-        Duration interval = decision.orElseThrow().isKnown() ? effort().sampleInterval() : FIRST_INTERVAL;
-        dueNanos = turn.nowNanos() + interval.toNanos();
+        Duration interval = decision.orElseThrow().isKnown() ? effort().sampleInterval() : INITIAL_SAMPLE_INTERVAL;
+        nextActionNanos = context.nowNanos() + interval.toNanos();
         if (isIdle()) {
-            turn.add(new MapAction.ReadReport(ranks.getFirst()));
+            context.add(new MapAction.ReadReport(ranks.getFirst()));
             return;
         }
-        if (turn.nowNanos() >= speedsDueNanos) {
-            speedsDueNanos = turn.nowNanos() + effort().speedInterval().toNanos();
-            ranks.forEach(id -> turn.add(new MapAction.ReadReport(id)));
+        if (context.nowNanos() >= nextSpeedReadNanos) {
+            nextSpeedReadNanos = context.nowNanos() + effort().speedInterval().toNanos();
+            ranks.forEach(id -> context.add(new MapAction.ReadReport(id)));
         }
         int count = Math.min(SAMPLED_RANKS, ranks.size());
         for (int i = 0; i < count; i++) {
             String id = ranks.get(i * ranks.size() / count);
-            if (reading.add(id)) {
-                turn.add(new MapAction.ReadCounts(id));
+            if (pendingReads.add(id)) {
+                context.add(new MapAction.ReadCounts(id));
             }
         }
     }
@@ -326,108 +329,108 @@
         return decision.orElseThrow().effort();
     }
 
-    private void counted(MapEvent.Counted c, Turn turn) {
-        if (phase != Phase.SAMPLING || !reading.remove(c.upstream())) {
+    private void handleCounts(MapEvent.CountsRead c, EventContext context) {
+        if (phase != Phase.SAMPLING || !pendingReads.remove(c.upstream())) {
             return;
         }
         if (c.counts().isEmpty()) {
-            misses++;
-            if (misses >= MISSES_TO_OBSERVE) {
-                observe(Duration.ZERO, turn);
+            failedReads++;
+            if (failedReads >= MAX_FAILED_READS) {
+                startObserving(Duration.ZERO, context);
             }
             return;
         }
-        MapEvent.Counts counts = c.counts().get();
+        MapEvent.ExpertCounts counts = c.counts().get();
         int rank = ranks.indexOf(c.upstream());
         if (counts.epoch() != epoch) {
-            newestEpoch = counts.epoch();
-            observe(Duration.ZERO, turn);
+            newestSeenEpoch = counts.epoch();
+            startObserving(Duration.ZERO, context);
             return;
         }
         if (!decision.orElseThrow().read(rank, counts.counts())) {
-            observe(OBSERVE_INTERVAL, turn);
+            startObserving(OBSERVE_INTERVAL, context);
             return;
         }
-        misses = 0;
-        passes.note(counts.step(), turn.nowNanos());
-        if (reading.isEmpty()) {
-            decide(turn);
+        failedReads = 0;
+        passEstimator.recordStep(counts.step(), context.nowNanos());
+        if (pendingReads.isEmpty()) {
+            decide(context);
         }
     }
 
-    private void decide(Turn turn) {
-        if (passes.still() >= STILL_READS_TO_OBSERVE) {
-            observe(Duration.ZERO, turn);
+    private void decide(EventContext context) {
+        if (passEstimator.unchangedReads() >= UNCHANGED_READS_TO_OBSERVE) {
+            startObserving(Duration.ZERO, context);
             return;
         }
-        if (passes.step() < inForceFrom) {
-            awaitPass(turn);
+        if (passEstimator.lastStep() < inForceStep) {
+            awaitPass(context);
             return;
         }
-        decision.orElseThrow().passesTake(passes.passTime(), targetGap, turn.nowNanos());
-        long version = term * VERSIONS_PER_TERM + changes + 1;
-        Optional<MapAction.Plan> search =
-                decision.orElseThrow().search(current.orElseThrow(), version, turn.nowNanos());
+        decision.orElseThrow().passesTake(passEstimator.passTime(), targetGap, context.nowNanos());
+        long version = term * VERSIONS_PER_TERM + searchesInTerm + 1;
+        Optional<MapAction.SearchMap> search =
+                decision.orElseThrow().search(current.orElseThrow(), version, context.nowNanos());
         if (search.isPresent()) {
-            changes++;
-            enter(Phase.PLANNING, turn);
-            turn.add(search.get());
+            searchesInTerm++;
+            enterPhase(Phase.SEARCHING, context);
+            context.add(search.get());
         }
     }
 
     /**
-     * Waits for the pass in which the last change is in force: until then the ranks refuse to prepare another map. An
-     * earlier order to hold it may be carried out late, so it is let begin again.
+     * Waits for the first pass under the map of the last change: until then the ranks refuse to prepare another map. An
+     * earlier order to hold that pass may be carried out late, so the order to release it is sent again.
      */
-    private void awaitPass(Turn turn) {
-        waits++;
-        if (waits > MANY_WAITS) {
+    private void awaitPass(EventContext context) {
+        passWaits++;
+        if (passWaits > MAX_PASS_WAITS) {
             return;
         }
-        dueNanos = turn.nowNanos() + AFTER_CHANGE.toNanos();
-        if (waits > 1) {
-            turn.add(new MapAction.Send(lastHolder, epoch, new RankOrder.Go(inForceFrom)));
+        nextActionNanos = context.nowNanos() + DELAY_AFTER_CHANGE.toNanos();
+        if (passWaits > 1) {
+            context.add(new MapAction.SendOrder(lastHolder, epoch, new RankOrder.Go(inForceStep)));
         }
     }
 
-    private void planned(GroupMap map, Turn turn) {
-        if (phase != Phase.PLANNING) {
+    private void handleFoundMap(GroupMap map, EventContext context) {
+        if (phase != Phase.SEARCHING) {
             return;
         }
         MapDecision d = decision.orElseThrow();
         GroupMap from = current.orElseThrow();
         if (!d.isWorthwhile(map, from)) {
-            beginSampling(effort().sampleInterval(), turn);
+            startSampling(effort().sampleInterval(), context);
             return;
         }
-        turn.note("map-change-begun", d.describe(map, from));
-        enter(Phase.CHANGING, turn);
+        context.log("map-change-begun", d.describe(map, from));
+        enterPhase(Phase.CHANGING, context);
         next = Optional.of(map);
         Duration copy = profile.copyTime(map.mostNewOnOneRank(from));
-        change = Optional.of(GroupChange.begin(ranks, epoch, passes, answers, map, copy, turn));
+        change = Optional.of(GroupMapChange.begin(ranks, epoch, passEstimator, roundTimeEstimator, map, copy, context));
     }
 
-    private void afterChange(GroupChange c, Turn turn) {
+    private void handleChangeState(GroupMapChange c, EventContext context) {
         switch (c.state()) {
             case IN_FORCE -> {
                 change = Optional.empty();
                 current = next;
-                inForceFrom = c.step();
+                inForceStep = c.holdStep();
                 lastHolder = c.holder();
-                waits = 0;
-                if (elected) {
+                passWaits = 0;
+                if (isElected) {
                     decision.orElseThrow().lookAgain();
-                    beginSampling(AFTER_CHANGE, turn);
+                    startSampling(DELAY_AFTER_CHANGE, context);
                 } else {
-                    enter(Phase.IDLE, turn);
+                    enterPhase(Phase.IDLE, context);
                 }
             }
             case ENDED -> {
                 change = Optional.empty();
-                observe(GroupChange.REPORT_LAG, turn);
+                startObserving(GroupMapChange.REPORT_LAG, context);
             }
             case PREPARING, HOLDING, ARMING, DISARMING, RELEASING -> {
-                // It goes on.
+                // The change is still in progress.
             }
             default -> throw new IllegalStateException("unknown state " + c.state());
         }
--- a/core/src/main/java/org/citrontide/core/expertmap/GroupReports.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/GroupReports.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A round of reports of the upstreams of a service, and what it says of a group. Not thread-safe. */
+/** One round of reports from the upstreams of a service, evaluated as reports of a group of ranks. Not thread-safe. */
 final class GroupReports {
     private final Map<String, RankReport> byUpstream = new HashMap<>();
 
@@ -22,26 +22,26 @@
         byUpstream.put(upstream, report);
     }
 
-    /** Returns the upstreams of the first group of which every rank is there and works, in the order of the ranks. */
-    Optional<List<String>> wholeGroup() {
+    /** Returns the upstreams, in rank order, of the first group that is open and has reports from all of its ranks. */
+    Optional<List<String>> completeGroup() {
         Map<String, List<String>> groups = new TreeMap<>();
         byUpstream.forEach((id, r) ->
                 groups.computeIfAbsent(r.group(), g -> new ArrayList<>()).add(id));
-        return groups.values().stream().filter(this::isWhole).findFirst().map(this::inOrder);
+        return groups.values().stream().filter(this::isComplete).findFirst().map(this::inRankOrder);
     }
 
     RankReport of(String upstream) {
         return byUpstream.get(upstream);
     }
 
-    /** Returns the versions in force on the given ranks. */
+    /** Returns the map versions in force on the given ranks. */
     Set<Long> versionsInForce(List<String> ranks) {
         Set<Long> versions = new HashSet<>();
         ranks.forEach(id -> versions.add(of(id).mapVersion()));
         return versions;
     }
 
-    /** Returns the map that is prepared or armed on every one of the given ranks. */
+    /** Returns the version that is prepared or armed on all the given ranks, if it is the same on each. */
     Optional<Long> preparedOnAll(List<String> ranks) {
         Set<Long> versions = new HashSet<>();
         for (String id : ranks) {
@@ -52,27 +52,27 @@
         return versions.size() == 1 && only > 0 ? Optional.of(only) : Optional.empty();
     }
 
-    List<String> armed(List<String> ranks) {
+    List<String> armedRanks(List<String> ranks) {
         return ranks.stream().filter(id -> of(id).armed().isPresent()).toList();
     }
 
-    List<String> holding(List<String> ranks) {
+    List<String> holdingRanks(List<String> ranks) {
         return ranks.stream().filter(id -> of(id).heldStep().isPresent()).toList();
     }
 
-    private boolean isWhole(List<String> ids) {
+    private boolean isComplete(List<String> ids) {
         RankReport first = of(ids.getFirst());
         Set<Integer> numbers = new HashSet<>();
         for (String id : ids) {
             RankReport r = of(id);
-            if (r.open() && r.epoch() == first.epoch() && r.rank() < first.size()) {
+            if (r.isOpen() && r.epoch() == first.epoch() && r.rank() < first.size()) {
                 numbers.add(r.rank());
             }
         }
         return numbers.size() == first.size() && ids.size() == first.size();
     }
 
-    private List<String> inOrder(List<String> ids) {
+    private List<String> inRankOrder(List<String> ids) {
         String[] ranks = new String[ids.size()];
         ids.forEach(id -> ranks[of(id).rank()] = id);
         return List.of(ranks);
--- a/core/src/main/java/org/citrontide/core/expertmap/MapAction.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/MapAction.java
@@ -3,77 +3,77 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a {@link GroupMapController} asks of its shell. Immutable. */
+/** An action that {@link GroupMapController} requests from its shell. Immutable. */
 public sealed interface MapAction {
 
     /**
-     * Read the state of an upstream.
+     * Reads the state of an upstream.
      *
-     * @param upstream its identity
+     * @param upstream identity of the upstream
      */
     record ReadReport(String upstream) implements MapAction {}
 
     /**
-     * Read the counts of an upstream's expert choices.
+     * Reads how often an upstream has chosen each expert.
      *
-     * @param upstream its identity
+     * @param upstream identity of the upstream
      */
     record ReadCounts(String upstream) implements MapAction {}
 
     /**
-     * Read which experts an upstream holds.
+     * Reads which experts an upstream holds.
      *
-     * @param upstream its identity
+     * @param upstream identity of the upstream
      */
     record ReadExperts(String upstream) implements MapAction {}
 
     /**
-     * Send an order.
+     * Sends an order to a rank.
      *
-     * @param upstream identity of the rank's upstream
-     * @param epoch epoch of the group outside which the order must not be carried out
+     * @param upstream identity of the upstream of the rank
+     * @param epoch epoch of the group; the order must not be carried out in any other epoch
      * @param order the order
      */
-    record Send(String upstream, int epoch, RankOrder order) implements MapAction {}
+    record SendOrder(String upstream, int epoch, RankOrder order) implements MapAction {}
 
     /**
-     * Search for a better map, away from the event loop.
+     * Searches for a better map outside the event loop.
      *
      * @param current map in force
      * @param loads loads of each set
-     * @param newPerRank most experts of a set that a rank may take in
+     * @param maxNewPerRank maximum number of experts of a set that a rank may add
      * @param version version of the new map
-     * @param leastGain part by which each change of a place must relieve the most loaded ranks
+     * @param minGain minimum fraction by which each change of a placement must reduce the load of the most loaded ranks
      */
-    record Plan(GroupMap current, List<RankLoads> loads, int newPerRank, long version, double leastGain)
+    record SearchMap(GroupMap current, List<RankLoads> loads, int maxNewPerRank, long version, double minGain)
             implements MapAction {
 
         /** Copies the list. */
-        public Plan {
+        public SearchMap {
             loads = List.copyOf(loads);
         }
 
         /**
-         * Searches.
+         * Runs the search.
          *
-         * @param maxSteps most changes of places in a set
+         * @param maxSteps maximum number of placement changes in a set
          * @return the map found
          */
         public GroupMap search(int maxSteps) {
             List<ExpertMap> next = new ArrayList<>();
             for (int s = 0; s < loads.size(); s++) {
-                next.add(new PlacementImprover(current.sets().get(s), loads.get(s), newPerRank)
-                        .improved(maxSteps, leastGain));
+                next.add(new PlacementImprover(current.sets().get(s), loads.get(s), maxNewPerRank)
+                        .improved(maxSteps, minGain));
             }
             return new GroupMap(version, next);
         }
     }
 
     /**
-     * Record a change of what is believed of the group.
+     * Logs an event in the progress of a map change.
      *
      * @param event name of the event
-     * @param detail what it depended on
+     * @param detail values that describe the event
      */
-    record Note(String event, String detail) implements MapAction {}
+    record LogEvent(String event, String detail) implements MapAction {}
 }
--- a/core/src/main/java/org/citrontide/core/expertmap/MapDecision.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/MapDecision.java
@@ -81,7 +81,7 @@
     }
 
     /** Returns the search that is worth its time now, if any. */
-    Optional<MapAction.Plan> search(GroupMap current, long newVersion, long nowNanos) {
+    Optional<MapAction.SearchMap> search(GroupMap current, long newVersion, long nowNanos) {
         boolean isFresh = demand.fold(LEAST_CHOICES);
         if (!isFresh && !again) {
             return Optional.empty();
@@ -94,7 +94,8 @@
         if (current.skew(loads) < effort.skew()) {
             return Optional.empty();
         }
-        return Optional.of(new MapAction.Plan(current, loads, profile.newPerPrepare(), newVersion, effort.stepGain()));
+        return Optional.of(
+                new MapAction.SearchMap(current, loads, profile.newPerPrepare(), newVersion, effort.stepGain()));
     }
 
     /** Says whether a map that was found should be put in force. */
--- a/core/src/main/java/org/citrontide/core/expertmap/MapEvent.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/MapEvent.java
@@ -4,89 +4,89 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What happens to a {@link GroupMapController}. Immutable; arrays must not be changed. */
+/** An event that {@link GroupMapController} handles. Immutable; arrays must not be modified. */
 public sealed interface MapEvent {
 
     /**
-     * This process may change maps from now on.
+     * This process was elected and may change maps from now on.
      *
-     * @param term number of the term, higher than that of any controller before
+     * @param term number of the term, higher than that of any earlier controller
      */
     record Elected(long term) implements MapEvent {}
 
-    /** This process may begin no change any more; one that holds the group is finished. */
+    /** This process lost leadership and must not start a change. A change that holds the group is still completed. */
     record Deposed() implements MapEvent {}
 
     /**
-     * The upstreams of the service changed.
+     * The set of upstreams of the service changed.
      *
-     * @param upstreams identities of those that take work or finish theirs
+     * @param upstreams identities of the upstreams that accept requests or are draining
      */
-    record Members(List<String> upstreams) implements MapEvent {
+    record MembersChanged(List<String> upstreams) implements MapEvent {
 
         /** Copies the list. */
-        public Members {
+        public MembersChanged {
             upstreams = List.copyOf(upstreams);
         }
     }
 
     /**
-     * A report was read, or could not be.
+     * A read of a report ended.
      *
      * @param upstream identity of the upstream
-     * @param report its state, if it answered
+     * @param report state of the rank, empty if the read failed
      */
-    record Reported(String upstream, Optional<RankReport> report) implements MapEvent {}
+    record ReportRead(String upstream, Optional<RankReport> report) implements MapEvent {}
 
     /**
-     * Counts were read, or could not be.
+     * A read of expert counts ended.
      *
      * @param upstream identity of the upstream
-     * @param counts what it answered, if it did
+     * @param counts counts of the rank, empty if the read failed
      */
-    record Counted(String upstream, Optional<Counts> counts) implements MapEvent {}
+    record CountsRead(String upstream, Optional<ExpertCounts> counts) implements MapEvent {}
 
     /**
-     * Running counts of one rank.
+     * Cumulative counts of one rank.
      *
-     * @param step last pass that began
+     * @param step number of the last pass that started
      * @param epoch epoch of the group
-     * @param counts how often each expert was chosen, set after set
+     * @param counts number of times that each expert was chosen, set by set
      */
-    record Counts(long step, int epoch, long[] counts) {}
+    record ExpertCounts(long step, int epoch, long[] counts) {}
 
     /**
-     * The experts of a rank were read, or could not be.
+     * A read of the experts of a rank ended.
      *
      * @param upstream identity of the upstream
      * @param version version of the map in force
-     * @param experts experts by set, if it answered
+     * @param experts experts by set, empty if the read failed
      */
-    record Listed(String upstream, long version, Optional<int[][]> experts) implements MapEvent {}
+    record ExpertsRead(String upstream, long version, Optional<int[][]> experts) implements MapEvent {}
 
     /**
-     * An order was answered, or not in time.
+     * A reply to an order arrived, or the order timed out.
      *
      * @param upstream identity of the upstream
      * @param order the order
-     * @param reply what came back
+     * @param outcome the outcome
      */
-    record Replied(String upstream, RankOrder order, RankReply reply) implements MapEvent {}
+    record OrderEnded(String upstream, RankOrder order, OrderOutcome outcome) implements MapEvent {}
 
     /**
-     * A search ended.
+     * A search for a map ended.
      *
      * @param map the map found
      */
-    record Planned(GroupMap map) implements MapEvent {}
+    record SearchEnded(GroupMap map) implements MapEvent {}
 
     /**
-     * The configuration says how long a pass may take.
+     * The configuration set the time that a pass may take.
      *
-     * @param targetGap shortest pause between events that a route of the service asks for, zero if none does
+     * @param targetGap shortest gap between events that any route of the service requests, zero if none does
      */
-    record Targeted(Duration targetGap) implements MapEvent {}
+    record TargetGapChanged(Duration targetGap) implements MapEvent {}
 
-    /** Time passed. */
+    /** The periodic timer fired. */
     record Tick() implements MapEvent {}
 }
--- a/core/src/main/java/org/citrontide/core/expertmap/OrderRound.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/OrderRound.java
@@ -6,52 +6,52 @@
 import java.util.Set;
 
 /**
- * One order to several ranks, repeated to each until it is carried out. Not thread-safe.
+ * Tracks one order to several ranks, which is retried on each rank until it is carried out. Not thread-safe.
  *
- * <p>Invariant: a rank is open until its order is done; only open ranks are asked again.
+ * <p>Invariant: a rank is pending until its order is completed; only pending ranks are retried.
  */
 final class OrderRound {
-    private final Set<String> open = new HashSet<>();
-    private final Set<String> again = new HashSet<>();
+    private final Set<String> pending = new HashSet<>();
+    private final Set<String> retries = new HashSet<>();
 
     void start(Collection<String> targets) {
         clear();
-        open.addAll(targets);
+        pending.addAll(targets);
     }
 
     void clear() {
-        open.clear();
-        again.clear();
+        pending.clear();
+        retries.clear();
     }
 
-    /** Notes that a rank must be asked again. */
-    void repeat(String id) {
-        if (open.contains(id)) {
-            again.add(id);
+    /** Schedules a retry for a rank, unless its order is already completed. */
+    void retry(String id) {
+        if (pending.contains(id)) {
+            retries.add(id);
         }
     }
 
-    void done(String id) {
-        open.remove(id);
-        again.remove(id);
+    void complete(String id) {
+        pending.remove(id);
+        retries.remove(id);
     }
 
-    boolean isOpen(String id) {
-        return open.contains(id);
+    boolean isPending(String id) {
+        return pending.contains(id);
     }
 
-    boolean isDone() {
-        return open.isEmpty();
+    boolean isComplete() {
+        return pending.isEmpty();
     }
 
-    List<String> open() {
-        return List.copyOf(open);
+    List<String> pending() {
+        return List.copyOf(pending);
     }
 
-    /** Returns the ranks to ask again now. */
-    List<String> takeRepeats() {
-        List<String> list = List.copyOf(again);
-        again.clear();
+    /** Returns the ranks to retry now and clears them. */
+    List<String> takeRetries() {
+        List<String> list = List.copyOf(retries);
+        retries.clear();
         return list;
     }
 }
--- a/core/src/main/java/org/citrontide/core/expertmap/RankOrder.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RankOrder.java
@@ -1,43 +1,44 @@
 package org.citrontide.core.expertmap;
 
 /**
- * An order to the engine of one rank. Repeating one does no harm: a rank that has carried it out says so. Immutable.
+ * An order to the engine of one rank. Orders are idempotent: a rank that has already carried one out confirms it again.
+ * Immutable.
  */
 public sealed interface RankOrder {
 
     /**
-     * Copy the experts that a map brings new to the rank.
+     * Copies the experts that a map adds to the rank.
      *
      * @param map the map
      */
     record Prepare(GroupMap map) implements RankOrder {}
 
     /**
-     * Switch to a prepared map as a pass begins.
+     * Makes the rank switch to a prepared map at the start of a pass.
      *
      * @param version version of the map
-     * @param step the pass
+     * @param step number of the pass
      */
     record Arm(long version, long step) implements RankOrder {}
 
     /**
-     * Forget an armed map, which stays prepared.
+     * Reverts an arm order. The map stays prepared.
      *
      * @param version version of the map
      */
     record Disarm(long version) implements RankOrder {}
 
     /**
-     * Keep the group from beginning a pass.
+     * Prevents the group from starting a pass.
      *
-     * @param step the pass
+     * @param step number of the pass
      */
     record Hold(long step) implements RankOrder {}
 
     /**
-     * Let the group begin a pass that this rank holds.
+     * Allows the group to start a pass that this rank holds.
      *
-     * @param step the pass
+     * @param step number of the pass
      */
     record Go(long step) implements RankOrder {}
 }
--- a/core/src/main/java/org/citrontide/core/expertmap/RankReport.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RankReport.java
@@ -3,26 +3,26 @@
 import java.util.OptionalLong;
 
 /**
- * State of one rank as its engine reports it, some hundred milliseconds late. Immutable.
+ * State of one rank as reported by its engine. A report lags the engine by a few hundred milliseconds. Immutable.
  *
  * @param group name of its group
- * @param epoch how often the group has formed
- * @param rank its number in the group
- * @param size ranks of the group
- * @param open whether the group works
- * @param step number of the last pass that began
- * @param mapVersion map in force
- * @param prepared map that is ready to be switched to
- * @param armed map that it will switch to
- * @param heldStep pass that the group may not begin before this rank lets it
- * @param slowness time of its work relative to a healthy rank, 1 or more
+ * @param epoch number of times that the group has formed
+ * @param rank number of the rank in the group
+ * @param size number of ranks in the group
+ * @param isOpen whether the group serves requests
+ * @param step number of the last pass that started
+ * @param mapVersion version of the map in force
+ * @param prepared version of the map that is ready to be armed
+ * @param armed version of the map that the rank will switch to
+ * @param heldStep number of the pass that the group must not start until this rank releases it
+ * @param slowness time that the rank needs for its work relative to a healthy rank, at least 1
  */
 public record RankReport(
         String group,
         int epoch,
         int rank,
         int size,
-        boolean open,
+        boolean isOpen,
         long step,
         long mapVersion,
         OptionalLong prepared,
--- a/core/src/test/java/org/citrontide/core/expertmap/FakeGroup.java
+++ b/core/src/test/java/org/citrontide/core/expertmap/FakeGroup.java
@@ -6,23 +6,23 @@
 import java.util.OptionalLong;
 
 /**
- * A group of engine ranks in virtual time, with the orders and reports of the real ones. It begins a pass whenever no
- * rank holds it, and remembers the first pass that began on two maps.
+ * Simulates a group of engine ranks in virtual time, with the same orders and reports as real engines. A pass starts
+ * whenever no rank holds it. The first pass that starts on two different maps is recorded as a violation.
  */
 final class FakeGroup {
     static final int REPORT_LAG_MS = 200;
     private static final int PASS_MS = 60;
     private static final int COPY_MS = 60;
 
-    /** One rank. */
+    /** State of one rank. */
     private static final class Rank {
         private GroupMap map;
         private Optional<GroupMap> copying = Optional.empty();
-        private long copiedMs;
+        private long copyEndMs;
         private Optional<GroupMap> prepared = Optional.empty();
         private OptionalLong armedStep = OptionalLong.empty();
-        private OptionalLong held = OptionalLong.empty();
-        private long highest;
+        private OptionalLong heldStep = OptionalLong.empty();
+        private long highestVersion;
         private final long[] counts;
 
         private Rank(GroupMap map, int experts) {
@@ -69,20 +69,20 @@
     }
 
     boolean isHeld() {
-        return ranks.stream().anyMatch(r -> r.held.isPresent() && r.held.getAsLong() == step + 1);
+        return ranks.stream().anyMatch(r -> r.heldStep.isPresent() && r.heldStep.getAsLong() == step + 1);
     }
 
-    /** Lets one millisecond pass; the demand is for a few experts, which move with the time. */
+    /** Advances the time by one millisecond. The demand is concentrated on a few experts, which change over time. */
     void advance(long nowMs) {
         for (Rank r : ranks) {
-            if (r.copying.isPresent() && nowMs >= r.copiedMs) {
+            if (r.copying.isPresent() && nowMs >= r.copyEndMs) {
                 r.prepared = r.copying;
                 r.copying = Optional.empty();
             }
         }
-        noteHold(nowMs);
+        recordHoldTime(nowMs);
         if (nowMs >= nextPassMs && !isHeld() && !isIdle) {
-            beginPass(nowMs);
+            startPass(nowMs);
         }
         history.add(reports());
         if (history.size() > REPORT_LAG_MS) {
@@ -90,40 +90,40 @@
         }
     }
 
-    /** Makes one rank work five times as long. */
-    void slow(int rank) {
+    /** Makes one rank five times slower. */
+    void setSlowRank(int rank) {
         slowRank = rank;
     }
 
-    /** Lets no pass begin, as if there were no requests, or lets them begin again. */
-    void idle(boolean isIdle) {
+    /** Sets whether the group is idle: without requests it starts no pass. */
+    void setIdle(boolean isIdle) {
         this.isIdle = isIdle;
     }
 
-    /** Ends the group and forms it again with map 0. */
+    /** Crashes the group and forms it again with map 0. */
     void crash() {
         epoch++;
         form();
     }
 
-    RankReport report(int rank) {
+    RankReport reportOf(int rank) {
         return history.getFirst().get(rank);
     }
 
-    MapEvent.Counts counts(int rank) {
-        return new MapEvent.Counts(step, epoch, ranks.get(rank).counts.clone());
+    MapEvent.ExpertCounts countsOf(int rank) {
+        return new MapEvent.ExpertCounts(step, epoch, ranks.get(rank).counts.clone());
     }
 
-    MapEvent.Listed listed(int rank) {
+    MapEvent.ExpertsRead expertsOf(int rank) {
         GroupMap map = ranks.get(rank).map;
         int[][] bySet = {map.sets().getFirst().experts()[rank]};
-        return new MapEvent.Listed("rank" + rank, map.version(), Optional.of(bySet));
+        return new MapEvent.ExpertsRead("rank" + rank, map.version(), Optional.of(bySet));
     }
 
-    /** Carries an order out and answers it. */
-    RankReply order(int rank, int orderEpoch, RankOrder order, long nowMs) {
+    /** Carries out an order and returns its outcome. */
+    OrderOutcome handleOrder(int rank, int orderEpoch, RankOrder order, long nowMs) {
         if (orderEpoch != epoch) {
-            return RankReply.REFUSED;
+            return OrderOutcome.REFUSED;
         }
         Rank r = ranks.get(rank);
         return switch (order) {
@@ -135,50 +135,50 @@
         };
     }
 
-    private RankReply prepare(Rank r, GroupMap map, long nowMs) {
-        if (map.version() <= r.highest || r.armedStep.isPresent()) {
-            return RankReply.REFUSED;
+    private OrderOutcome prepare(Rank r, GroupMap map, long nowMs) {
+        if (map.version() <= r.highestVersion || r.armedStep.isPresent()) {
+            return OrderOutcome.REFUSED;
         }
-        r.highest = map.version();
+        r.highestVersion = map.version();
         r.copying = Optional.of(map);
         r.prepared = Optional.empty();
-        r.copiedMs = nowMs + COPY_MS;
-        return RankReply.DONE;
+        r.copyEndMs = nowMs + COPY_MS;
+        return OrderOutcome.DONE;
     }
 
-    private RankReply arm(Rank r, RankOrder.Arm a) {
+    private OrderOutcome arm(Rank r, RankOrder.Arm a) {
         boolean isReady = r.prepared.isPresent() && r.prepared.get().version() == a.version();
         if (!isReady || a.step() <= step) {
-            return RankReply.REFUSED;
+            return OrderOutcome.REFUSED;
         }
         r.armedStep = OptionalLong.of(a.step());
-        return RankReply.DONE;
+        return OrderOutcome.DONE;
     }
 
-    private RankReply disarm(Rank r, RankOrder.Disarm d) {
+    private OrderOutcome disarm(Rank r, RankOrder.Disarm d) {
         if (r.map.version() == d.version()) {
-            return RankReply.REFUSED;
+            return OrderOutcome.REFUSED;
         }
         if (r.prepared.isPresent() && r.prepared.get().version() == d.version()) {
             r.armedStep = OptionalLong.empty();
         }
-        return RankReply.DONE;
+        return OrderOutcome.DONE;
     }
 
-    private RankReply hold(Rank r, RankOrder.Hold h) {
-        boolean holdsAnother = r.held.isPresent() && r.held.getAsLong() != h.step();
+    private OrderOutcome hold(Rank r, RankOrder.Hold h) {
+        boolean holdsAnother = r.heldStep.isPresent() && r.heldStep.getAsLong() != h.step();
         if (holdsAnother || h.step() <= step) {
-            return RankReply.REFUSED;
+            return OrderOutcome.REFUSED;
         }
-        r.held = OptionalLong.of(h.step());
-        return RankReply.DONE;
+        r.heldStep = OptionalLong.of(h.step());
+        return OrderOutcome.DONE;
     }
 
-    private static RankReply go(Rank r, RankOrder.Go g) {
-        if (r.held.isPresent() && r.held.getAsLong() == g.step()) {
-            r.held = OptionalLong.empty();
+    private static OrderOutcome go(Rank r, RankOrder.Go g) {
+        if (r.heldStep.isPresent() && r.heldStep.getAsLong() == g.step()) {
+            r.heldStep = OptionalLong.empty();
         }
-        return RankReply.DONE;
+        return OrderOutcome.DONE;
     }
 
     private void form() {
@@ -192,7 +192,7 @@
         history.add(reports());
     }
 
-    private void beginPass(long nowMs) {
+    private void startPass(long nowMs) {
         step++;
         nextPassMs = nowMs + PASS_MS;
         for (Rank r : ranks) {
@@ -201,20 +201,20 @@
                 r.prepared = Optional.empty();
                 r.armedStep = OptionalLong.empty();
             }
-            int hot = (int) (nowMs / 3000 * 5 % experts);
+            int hotExpert = (int) (nowMs / 3000 * 5 % experts);
             for (int e = 0; e < experts; e++) {
-                r.counts[e] += e == hot || e == (hot + size) % experts ? 2400 : 60;
+                r.counts[e] += e == hotExpert || e == (hotExpert + size) % experts ? 2400 : 60;
             }
         }
         long before = ranks.getFirst().map.version();
         if (ranks.stream().anyMatch(r -> r.map.version() != before) && violation.isEmpty()) {
-            violation = "pass " + step + " at " + nowMs + " ms began on two maps: "
+            violation = "pass " + step + " at " + nowMs + " ms started on two maps: "
                     + ranks.stream().map(r -> r.map.version()).toList();
         }
         changes += history.getLast().getFirst().mapVersion() != before ? 1 : 0;
     }
 
-    private void noteHold(long nowMs) {
+    private void recordHoldTime(long nowMs) {
         if (!isHeld() || nowMs < nextPassMs) {
             heldSinceMs = -1;
             return;
@@ -240,7 +240,7 @@
                     r.map.version(),
                     prepared,
                     r.armedStep.isPresent() ? prepared : OptionalLong.empty(),
-                    r.held,
+                    r.heldStep,
                     i == slowRank ? 5 : 1));
         }
         return list;
--- a/gateway/src/main/java/org/citrontide/gateway/maps/MapShell.java
+++ b/gateway/src/main/java/org/citrontide/gateway/maps/MapShell.java
@@ -16,7 +16,7 @@
 import org.citrontide.core.expertmap.GroupMapController;
 import org.citrontide.core.expertmap.MapAction;
 import org.citrontide.core.expertmap.MapEvent;
-import org.citrontide.core.expertmap.RankReply;
+import org.citrontide.core.expertmap.OrderOutcome;
 import org.citrontide.core.routes.EngineProfile;
 import org.citrontide.core.routes.ListedUpstream;
 import org.citrontide.core.routes.RoutingTable;
@@ -79,7 +79,7 @@
         for (ServiceProfile s : table.services().values()) {
             s.engine().filter(e -> e.sets() > 0).ifPresent(e -> control(s.name(), e));
         }
-        controllers.keySet().forEach(s -> handle(s, new MapEvent.Targeted(table.targetGap(s))));
+        controllers.keySet().forEach(s -> handle(s, new MapEvent.TargetGapChanged(table.targetGap(s))));
     }
 
     /**
@@ -140,19 +140,19 @@
                 .map(ListedUpstream::id)
                 .sorted()
                 .forEach(ids::add);
-        handle(service, new MapEvent.Members(ids));
+        handle(service, new MapEvent.MembersChanged(ids));
     }
 
     private void handle(String service, MapEvent event) {
         leaseCheck.run();
-        for (MapAction action : controllers.get(service).on(event, System.nanoTime())) {
+        for (MapAction action : controllers.get(service).handle(event, System.nanoTime())) {
             switch (action) {
                 case MapAction.ReadReport r -> readReport(service, r.upstream());
                 case MapAction.ReadCounts r -> readCounts(service, r.upstream());
                 case MapAction.ReadExperts r -> readExperts(service, r.upstream());
-                case MapAction.Send s -> send(service, s);
-                case MapAction.Plan p -> plan(service, p);
-                case MapAction.Note n ->
+                case MapAction.SendOrder s -> send(service, s);
+                case MapAction.SearchMap p -> plan(service, p);
+                case MapAction.LogEvent n ->
                     LOG.info(n.event())
                             .with("service", service)
                             .with("detail", n.detail())
@@ -164,15 +164,15 @@
     private void readReport(String service, String id) {
         ListedUpstream u = upstreams.get(id);
         if (u == null) {
-            loop.execute(() -> handle(service, new MapEvent.Reported(id, Optional.empty())));
+            loop.execute(() -> handle(service, new MapEvent.ReportRead(id, Optional.empty())));
             return;
         }
-        reports.read(u, report -> handle(service, new MapEvent.Reported(id, report)));
+        reports.read(u, report -> handle(service, new MapEvent.ReportRead(id, report)));
     }
 
     private void readCounts(String service, String id) {
         call(id, EngineCalls.readCounts(), READ_TIMEOUT, reply -> {
-            Optional<MapEvent.Counts> counts = Optional.empty();
+            Optional<MapEvent.ExpertCounts> counts = Optional.empty();
             if (reply.isPresent() && reply.get().status() == OK) {
                 try {
                     counts = Optional.of(EngineCalls.counts(reply.get().body()));
@@ -180,13 +180,13 @@
                     unreadable(id, e);
                 }
             }
-            handle(service, new MapEvent.Counted(id, counts));
+            handle(service, new MapEvent.CountsRead(id, counts));
         });
     }
 
     private void readExperts(String service, String id) {
         call(id, EngineCalls.readExperts(), READ_TIMEOUT, reply -> {
-            MapEvent.Listed listed = new MapEvent.Listed(id, 0, Optional.empty());
+            MapEvent.ExpertsRead listed = new MapEvent.ExpertsRead(id, 0, Optional.empty());
             if (reply.isPresent() && reply.get().status() == OK) {
                 try {
                     listed = EngineCalls.experts(id, reply.get().body());
@@ -198,20 +198,20 @@
         });
     }
 
-    private void send(String service, MapAction.Send s) {
+    private void send(String service, MapAction.SendOrder s) {
         call(s.upstream(), EngineCalls.order(s.order(), s.epoch()), ORDER_TIMEOUT, reply -> {
-            RankReply r = reply.map(x -> EngineCalls.reply(x.status())).orElse(RankReply.UNANSWERED);
-            handle(service, new MapEvent.Replied(s.upstream(), s.order(), r));
+            OrderOutcome r = reply.map(x -> EngineCalls.reply(x.status())).orElse(OrderOutcome.UNANSWERED);
+            handle(service, new MapEvent.OrderEnded(s.upstream(), s.order(), r));
         });
     }
 
-    private void plan(String service, MapAction.Plan p) {
+    private void plan(String service, MapAction.SearchMap p) {
         CompletableFuture.supplyAsync(() -> p.search(SEARCH_STEPS), planner).whenComplete((map, failure) -> {
             if (failure != null) {
                 LOG.error("map-search-failed", failure).write();
                 return;
             }
-            loop.execute(() -> handle(service, new MapEvent.Planned(map)));
+            loop.execute(() -> handle(service, new MapEvent.SearchEnded(map)));
         });
     }
 
