--- a/core/src/main/java/org/citrontide/core/expertmap/RebalancePolicy.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RebalancePolicy.java
@@ -82,7 +82,7 @@
     }
 
     /** Returns the search for a better map to run now, or empty if none is due. */
-    Optional<MapAction.Plan> nextSearch(GroupMap current, long newVersion, long nowNanos) {
+    Optional<MapAction.SearchMap> nextSearch(GroupMap current, long newVersion, long nowNanos) {
         boolean isFresh = demand.update(MIN_SELECTIONS);
         if (!isFresh && !isDecisionRequested) {
             return Optional.empty();
@@ -96,7 +96,7 @@
             return Optional.empty();
         }
         return Optional.of(
-                new MapAction.Plan(current, loads, profile.newPerPrepare(), newVersion, parameters.minStepGain()));
+                new MapAction.SearchMap(current, loads, profile.newPerPrepare(), newVersion, parameters.minStepGain()));
     }
 
     /** Returns true if the map found saves enough expert time per pass to be activated. */
