--- a/core/src/main/java/org/citrontide/core/gateway/AdmissionQueue.java
+++ b/core/src/main/java/org/citrontide/core/gateway/AdmissionQueue.java
@@ -8,66 +8,67 @@
 import java.util.TreeSet;
 
 /**
- * The requests of one service that wait at this gateway: while the service's group has lost a member, and after that
- * while room is better given to requests that can still be on time.
+ * A queue of the requests of one service that wait at this gateway: while the service's group has lost a member, and
+ * after the recovery while its slots are reserved for requests that can still be on time.
  *
- * <p>The load that it answers: a group that is down for a second or for several while requests come at the same pace as
- * before, and the crowd of late ones when it works again. A request waits as long as its caller surely does; then it is
- * refused, so that the caller can come back. While the group is down one request in an interval finds out whether it
- * still is, since each rejected one counts as a repeat when it is sent again. Late requests are sent one by one, each
- * when the one before it has begun, so that they leave slots free for others.
+ * <p>Handles outages of a group of one or several seconds under a constant arrival rate, and the backlog of late
+ * requests after the recovery. A request waits no longer than its caller is certain to; then it is refused, so that the
+ * caller can retry. While the group is down, only one request per interval probes it, because a rejected probe counts
+ * as a retry when it is sent again. After the recovery the number of late requests whose response has not started is
+ * limited, so that slots remain free for other requests.
  *
- * <p>Invariant: a request that waits has no attempt under way. Not thread-safe: owned by the dispatcher's thread.
+ * <p>Invariant: a waiting request has no attempt in flight. Not thread-safe: confined to the dispatcher's thread.
  */
 final class AdmissionQueue {
-    // Callers leave an answer without a first event after 2 s; the first event takes about 0.2 s.
-    private static final Duration LONGEST_WAIT = Duration.ofMillis(1700);
-    // A caller that waited for this part of its time can still be answered in the rest.
-    private static final double LONGEST_PART = 0.35;
-    // All gateways probe; a group is found to work again within this time and that of a first event.
+    // Callers disconnect after 2 s without a first event, which takes an upstream about 0.2 s.
+    private static final Duration MAX_WAIT = Duration.ofMillis(1700);
+    // After waiting for this fraction of the deadline, a request can still complete in the remaining time.
+    private static final double MAX_WAIT_FRACTION = 0.35;
+    // Each gateway probes on its own: it detects a recovery within this interval plus the time to a first event.
     private static final Duration PROBE_INTERVAL = Duration.ofMillis(300);
-    // Late requests of one gateway without a first event: about half of the slots at the pace of first events.
-    private static final int MOST_LATE_PENDING = 2;
-    // Cuts and restarts are over by then; after that it is not known that waiting helps.
+    // Late requests of one gateway before their first event; at the rate of first events they use about half of the
+    // slots.
+    private static final int MAX_LATE_PENDING = 2;
+    // Network partitions and restarts end within this time; in a longer outage waiting is not known to help.
     private static final Duration LONG_OUTAGE = Duration.ofSeconds(8);
-    // The crowd of an outage has come back by then: callers wait for a third of their time, 2.7 s of 8, at most.
-    private static final Duration CROWD = Duration.ofSeconds(4);
-    // Keeps the bodies of waiting requests to some megabytes.
-    private static final int MOST_WAITING = 256;
+    // Refused callers have retried within this time: they wait for at most a third of their deadline, 2.7 s of 8 s.
+    private static final Duration BACKLOG_PERIOD = Duration.ofSeconds(4);
+    // Limits the bodies of waiting requests to a few megabytes of memory.
+    private static final int MAX_WAITING = 256;
 
     private final TreeSet<OpenGatewayRequest> waiting =
             new TreeSet<>(Comparator.<OpenGatewayRequest>comparingInt(o -> o.request.rank())
                     .thenComparingLong(o -> -o.request.arrivedNanos())
                     .thenComparingLong(o -> o.request.id()));
     private boolean isDown;
-    private long downNanos;
-    private long brokenNanos;
-    private long probedNanos;
+    private long downSinceNanos;
+    private long lastRejectionNanos;
+    private long lastProbeNanos;
     private boolean hadOutage;
-    private long workedNanos;
+    private long recoveredNanos;
     private int latePending;
 
     boolean isDown() {
         return isDown;
     }
 
-    /** Learns that an upstream rejected a request because its group is not whole; returns true if that is news. */
-    boolean broken(long nowNanos) {
-        boolean isNews = !isDown;
-        downNanos = isNews ? nowNanos : downNanos;
+    /** Records a rejection because the group lacks a member; returns whether this starts an outage. */
+    boolean recordGroupDown(long nowNanos) {
+        boolean isNewOutage = !isDown;
+        downSinceNanos = isNewOutage ? nowNanos : downSinceNanos;
         isDown = true;
-        brokenNanos = nowNanos;
-        return isNews;
+        lastRejectionNanos = nowNanos;
+        return isNewOutage;
     }
 
-    /** Learns that an attempt sent at the given time is being answered; returns true if that ends an outage. */
-    boolean answers(long sentNanos, long nowNanos) {
-        if (!isDown || sentNanos <= brokenNanos) {
+    /** Records a response to an attempt sent at the given time; returns whether this ends an outage. */
+    boolean recordResponse(long sentNanos, long nowNanos) {
+        if (!isDown || sentNanos <= lastRejectionNanos) {
             return false;
         }
         isDown = false;
         hadOutage = true;
-        workedNanos = nowNanos;
+        recoveredNanos = nowNanos;
         return true;
     }
 
@@ -75,27 +76,30 @@
         return waiting.size();
     }
 
-    /** Says whether a request may be sent at once, and takes the right to it. */
-    boolean tryPass(GatewayRequest r, long nowNanos) {
-        return isDown ? tryProbe(nowNanos) : !isHeldBack(r, nowNanos) || latePending < MOST_LATE_PENDING;
+    /** Returns whether a request may be sent immediately; while the group is down, this uses up the next probe. */
+    boolean tryAdmit(GatewayRequest r, long nowNanos) {
+        return isDown ? tryProbe(nowNanos) : !isHeldBack(r, nowNanos) || latePending < MAX_LATE_PENDING;
     }
 
-    /** Learns that an attempt of a request was sent. */
-    void sent(OpenGatewayRequest.Attempt a, GatewayRequest r, long nowNanos) {
+    /** Records that an attempt of a request was sent. */
+    void recordSent(OpenGatewayRequest.Attempt a, GatewayRequest r, long nowNanos) {
         a.isLatePending = isHeldBack(r, nowNanos);
         latePending += a.isLatePending ? 1 : 0;
     }
 
-    /** Learns that the answer of an attempt has begun, or that it will not. */
-    void settled(OpenGatewayRequest.Attempt a) {
+    /** Records that the response to an attempt has started, or that it will not start. */
+    void recordSettled(OpenGatewayRequest.Attempt a) {
         latePending -= a.isLatePending ? 1 : 0;
         a.isLatePending = false;
     }
 
-    /** Lets a request wait; returns false if it would not be answered while its caller waits, or too many wait. */
-    boolean tryWait(OpenGatewayRequest o, long nowNanos) {
-        boolean isLong = isDown && nowNanos - downNanos > LONG_OUTAGE.toNanos();
-        if (o.begun || isLong || nowNanos >= waitEndNanos(o.request) || waiting.size() >= MOST_WAITING) {
+    /** Queues a request; returns false if its caller would stop waiting first, or if the queue is full. */
+    boolean tryEnqueue(OpenGatewayRequest o, long nowNanos) {
+        boolean isLongOutage = isDown && nowNanos - downSinceNanos > LONG_OUTAGE.toNanos();
+        if (o.isResponseStarted
+                || isLongOutage
+                || nowNanos >= waitEndNanos(o.request)
+                || waiting.size() >= MAX_WAITING) {
             return false;
         }
         return waiting.add(o);
@@ -105,7 +109,7 @@
         waiting.remove(o);
     }
 
-    /** Removes the requests whose callers should be told to come back. */
+    /** Removes and returns the requests that have waited for their maximum time. */
     List<OpenGatewayRequest> pollOverdue(long nowNanos) {
         List<OpenGatewayRequest> overdue = waiting.stream()
                 .filter(o -> nowNanos >= waitEndNanos(o.request))
@@ -114,13 +118,13 @@
         return overdue;
     }
 
-    /** Removes the requests that may be sent now, in the order in which they should be. */
+    /** Removes and returns the requests that may be sent now, in sending order. */
     List<OpenGatewayRequest> pollSendable(long nowNanos) {
         if (isDown) {
             return pollProbe(nowNanos);
         }
         List<OpenGatewayRequest> sendable = new ArrayList<>();
-        int room = MOST_LATE_PENDING - latePending;
+        int room = MAX_LATE_PENDING - latePending;
         for (OpenGatewayRequest o : waiting) {
             boolean isHeldBack = isHeldBack(o.request, nowNanos);
             if (!isHeldBack || room > 0) {
@@ -133,31 +137,31 @@
     }
 
     private List<OpenGatewayRequest> pollProbe(long nowNanos) {
-        Optional<OpenGatewayRequest> unsent =
-                waiting.stream().filter(o -> o.attempts == 0).findFirst();
-        if (unsent.isEmpty() || !tryProbe(nowNanos)) {
+        Optional<OpenGatewayRequest> probe =
+                waiting.stream().filter(o -> o.attemptCount == 0).findFirst();
+        if (probe.isEmpty() || !tryProbe(nowNanos)) {
             return List.of();
         }
-        waiting.remove(unsent.get());
-        return List.of(unsent.get());
+        waiting.remove(probe.get());
+        return List.of(probe.get());
     }
 
     private boolean tryProbe(long nowNanos) {
-        if (nowNanos - probedNanos < PROBE_INTERVAL.toNanos()) {
+        if (nowNanos - lastProbeNanos < PROBE_INTERVAL.toNanos()) {
             return false;
         }
-        probedNanos = nowNanos;
+        lastProbeNanos = nowNanos;
         return true;
     }
 
-    /** Says whether a request is one of the crowd that an outage left behind; without one, late requests are few. */
+    /** Returns whether a request is late and part of the backlog of an outage; at other times late requests are few. */
     private boolean isHeldBack(GatewayRequest r, long nowNanos) {
-        boolean isCrowded = hadOutage && nowNanos - workedNanos < CROWD.toNanos();
-        return isCrowded && r.route().streaming() && r.isLate(nowNanos);
+        boolean hasBacklog = hadOutage && nowNanos - recoveredNanos < BACKLOG_PERIOD.toNanos();
+        return hasBacklog && r.route().streaming() && r.isLate(nowNanos);
     }
 
     private static long waitEndNanos(GatewayRequest r) {
-        long part = (long) (LONGEST_PART * (r.deadlineNanos() - r.arrivedNanos()));
-        return r.arrivedNanos() + Math.min(LONGEST_WAIT.toNanos(), part);
+        long maxWaitNanos = (long) (MAX_WAIT_FRACTION * (r.deadlineNanos() - r.arrivedNanos()));
+        return r.arrivedNanos() + Math.min(MAX_WAIT.toNanos(), maxWaitNanos);
     }
 }
--- a/core/src/main/java/org/citrontide/core/gateway/AttemptOutcome.java
+++ b/core/src/main/java/org/citrontide/core/gateway/AttemptOutcome.java
@@ -4,51 +4,56 @@
 
 import org.citrontide.core.verdict.Reason;
 
-/** How one attempt at an upstream ended. Immutable. */
+/**
+ * The outcome of one attempt at an upstream. Immutable.
+ *
+ * <p>The gateway logs unsuccessful outcomes in their text form, which contains the names of the records, of their
+ * components and of the causes.
+ */
 public sealed interface AttemptOutcome {
 
     /**
-     * The whole answer is at hand, or has gone to the caller.
+     * The complete response is available, or was passed on to the caller.
      *
      * @param status HTTP status
      */
-    record Whole(int status) implements AttemptOutcome {}
+    record Completed(int status) implements AttemptOutcome {}
 
     /**
-     * The upstream ran the request and failed; its whole answer is at hand.
+     * The upstream ran the request and failed; its complete response is available.
      *
      * @param status HTTP status, 500 or more
      */
     record Failed(int status) implements AttemptOutcome {}
 
     /**
-     * The upstream says that it did not run the request.
+     * The upstream reported that it did not run the request.
      *
-     * @param cause why
-     * @param retryAfterMillis when it expects room, if it says so
+     * @param cause why the upstream rejected the request
+     * @param retryAfterMillis delay in ms after which the upstream expects free capacity, if it sent one
      */
     record Rejected(Cause cause, Optional<Long> retryAfterMillis) implements AttemptOutcome {
 
         /** Why an upstream did not run a request. */
         public enum Cause {
-            /** Its queue is full, or the deadline passed there. */
+            /** The upstream's queue is full, or the deadline passed in it. */
             FULL,
-            /** Another upstream has its address now. */
+            /** The upstream's address now belongs to another one. */
             MISDIRECTED,
-            /** Another member of its group is dead or cut off. */
+            /** Another member of the upstream's group is dead or unreachable. */
             GROUP_BROKEN,
-            /** It refuses this request for a reason of the request's own. */
+            /** The request itself is unacceptable to the upstream. */
             UNACCEPTABLE
         }
     }
 
-    /** No byte of the request was sent. */
+    /** The upstream was unreachable, and no byte of the request was sent. */
     record Unreached() implements AttemptOutcome {}
 
     /**
-     * The request may have run, and there is no whole answer.
+     * The request may have run, and its response is missing or incomplete.
      *
-     * @param reason what went wrong
+     * @param reason why there is no complete response
      */
     record Broken(Reason reason) implements AttemptOutcome {}
 }
--- a/core/src/main/java/org/citrontide/core/gateway/GatewayAction.java
+++ b/core/src/main/java/org/citrontide/core/gateway/GatewayAction.java
@@ -6,30 +6,30 @@
 import org.citrontide.core.routes.ListedUpstream;
 import org.citrontide.core.verdict.Verdict;
 
-/** What a {@link GatewayDispatcher} asks of its shell. Immutable. */
+/** An action that a {@link GatewayDispatcher} requests from its shell. Immutable. */
 public sealed interface GatewayAction {
 
     /**
-     * Send an attempt. A stream of which the caller has events goes on after the last one.
+     * Sends an attempt. A stream whose caller already received events resumes after the last one.
      *
      * @param request the request
-     * @param attempt number of the attempt, never used twice in a process
-     * @param upstream where to
-     * @param remaining time left until the final answer is due
-     * @param admissionRank order of admission there, 0 first
+     * @param attempt number of the attempt, unique within a process
+     * @param upstream upstream to send the attempt to
+     * @param remaining time remaining until the deadline of the request
+     * @param admissionRank rank in the admission order of the upstream, 0 first
      */
     record Send(GatewayRequest request, long attempt, ListedUpstream upstream, Duration remaining, int admissionRank)
             implements GatewayAction {}
 
     /**
-     * Break off an attempt whose answer nobody waits for.
+     * Cancels an attempt whose response is no longer needed.
      *
      * @param attempt number of the attempt
      */
     record Cancel(long attempt) implements GatewayAction {}
 
     /**
-     * Send the caller the answer that the shell holds for an attempt.
+     * Sends the response of an attempt, which the shell holds, to the caller.
      *
      * @param request number of the request
      * @param attempt number of the attempt
@@ -37,40 +37,40 @@
     record Deliver(long request, long attempt) implements GatewayAction {}
 
     /**
-     * Refuse a request of which the caller has no byte yet.
+     * Refuses a request whose response has not started.
      *
      * @param request number of the request
-     * @param verdict its outcome
+     * @param verdict outcome of the request
      */
     record Refuse(long request, Verdict verdict) implements GatewayAction {}
 
     /**
-     * End an answer that has begun, so that it can't be taken for whole.
+     * Aborts a response that has started, in such a way that the caller can't mistake it for a complete one.
      *
      * @param request number of the request
-     * @param verdict its outcome
+     * @param verdict outcome of the request
      */
-    record BreakOff(long request, Verdict verdict) implements GatewayAction {}
+    record AbortResponse(long request, Verdict verdict) implements GatewayAction {}
 
     /**
-     * Ask upstreams how fast they are. Those that don't answer say nothing.
+     * Queries the speed of upstreams. An upstream that doesn't respond causes no event.
      *
-     * @param upstreams whom to ask
+     * @param upstreams the upstreams to query
      */
-    record AskSpeeds(List<ListedUpstream> upstreams) implements GatewayAction {
+    record QuerySpeeds(List<ListedUpstream> upstreams) implements GatewayAction {
 
         /** Copies the list. */
-        public AskSpeeds {
+        public QuerySpeeds {
             upstreams = List.copyOf(upstreams);
         }
     }
 
     /**
-     * Note that the group of a service is believed to be down, or to work again.
+     * Reports that the group of a service was detected to be down, or to have recovered.
      *
      * @param service name of the service
-     * @param isDown whether it is down
-     * @param waiting requests that wait for it
+     * @param isDown whether the group is down
+     * @param waiting number of requests that wait for the group
      */
-    record GroupNoted(String service, boolean isDown, int waiting) implements GatewayAction {}
+    record GroupStateChanged(String service, boolean isDown, int waiting) implements GatewayAction {}
 }
--- a/core/src/main/java/org/citrontide/core/gateway/GatewayDispatcher.java
+++ b/core/src/main/java/org/citrontide/core/gateway/GatewayDispatcher.java
@@ -16,106 +16,107 @@
 import org.citrontide.core.verdict.Verdict;
 
 /**
- * Carries every request of one gateway from its arrival to its one final answer.
+ * Dispatches the requests of one gateway to upstreams and decides the final outcome of each.
  *
  * <p>Invariants:
  *
  * <ul>
  *   <li>Each request ends in exactly one of {@link GatewayAction.Deliver}, {@link GatewayAction.Refuse} and {@link
- *       GatewayAction.BreakOff}, unless its caller left; no action names it afterwards.
+ *       GatewayAction.AbortResponse}, unless its caller disconnected; no later action refers to it.
  *   <li>A request ends in {@link Verdict.NotRun} only if each of its attempts certainly did not run.
- *   <li>A request that must run once at most has a second attempt only after one that certainly did not run.
- *   <li>A request reaches at most as many upstreams as its route allows, and repeats stay in the allowance.
+ *   <li>A request that must run at most once gets another attempt only if all earlier ones certainly did not run.
+ *   <li>A request reaches at most as many upstreams as its route allows, and retries stay within the retry budget.
  * </ul>
  *
- * <p>Not thread-safe: one thread owns it. It does no I/O and reads no clock; its randomness is passed in.
+ * <p>Not thread-safe: confined to one thread. Does no I/O and reads no clock; the source of randomness is passed in.
  */
 public final class GatewayDispatcher {
-    // An attempt with less time than this can't be answered.
-    private static final Duration LEAST_REMAINING = Duration.ofMillis(20);
-    // Time after which a full upstream is asked again: about one answer of a plain service.
-    private static final Duration FULL_PAUSE = Duration.ofMillis(60);
-    // An address that belongs to another upstream stays so until the list says otherwise.
+    // No upstream can respond within less time than this.
+    private static final Duration MIN_REMAINING = Duration.ofMillis(20);
+    // Pause after a rejection for a full queue: about the duration of one response of a plain service.
+    private static final Duration QUEUE_FULL_PAUSE = Duration.ofMillis(60);
+    // The address belongs to another upstream until an update of the upstream list says otherwise.
     private static final Duration MISDIRECTED_PAUSE = Duration.ofSeconds(5);
-    // A member of a group that is down is left alone for this long while other groups serve.
+    // Pause for a member of a group that is down, while other groups of the service respond.
     private static final Duration OTHER_GROUP_PAUSE = Duration.ofSeconds(1);
-    // A stream without bytes for this long, while others of its service go on, is taken for lost.
-    private static final Duration SILENCE = Duration.ofMillis(900);
-    private static final Duration RECENT = Duration.ofMillis(300);
-    // With more slow upstreams than this part, the others could not take over their streams.
-    private static final double SLOW_SHARE = 0.25;
-    // A plain idempotent request is sent elsewhere after this many times its target.
-    private static final int SLOW_ANSWER_TARGETS = 3;
-
-    private final GatewayDirectory directory = new GatewayDirectory();
-    private final UpstreamChoice choice;
-    private final RetryAfterPolicy retryAfter;
-    private final Supplier<RepeatAllowance> allowances;
-    private final Map<String, RepeatAllowance> repeats = new HashMap<>();
+    // A stream without bytes for this long is considered lost if other streams of its service make progress.
+    private static final Duration STREAM_STALL_TIMEOUT = Duration.ofMillis(900);
+    private static final Duration ACTIVITY_WINDOW = Duration.ofMillis(300);
+    // If a larger fraction of the upstreams is slow, the others lack the capacity to take over their streams.
+    private static final double MAX_SLOW_FRACTION = 0.25;
+    // A plain idempotent request is retried elsewhere after this multiple of its target latency.
+    private static final int STALL_TARGET_MULTIPLE = 3;
+
+    private final UpstreamRegistry registry = new UpstreamRegistry();
+    private final UpstreamSelector selector;
+    private final RetryAfterPolicy retryAfterPolicy;
+    private final Supplier<GatewayRetryBudget> retryBudgets;
+    private final Map<String, GatewayRetryBudget> budgetByService = new HashMap<>();
     private final Map<String, AdmissionQueue> queues = new HashMap<>();
-    private final Map<String, SlownessWatch> watches = new HashMap<>();
-    private final Map<Long, OpenGatewayRequest> open = new HashMap<>();
+    private final Map<String, SlownessDetector> detectorByService = new HashMap<>();
+    private final Map<Long, OpenGatewayRequest> openById = new HashMap<>();
     private final Map<Long, OpenGatewayRequest> byAttempt = new HashMap<>();
     private final TreeSet<GatewayRequest> byDeadline = new TreeSet<>(
             Comparator.comparingLong(GatewayRequest::deadlineNanos).thenComparingLong(GatewayRequest::id));
-    private long nextAttempt = 1;
+    private long nextAttemptNumber = 1;
 
     /**
-     * Makes a dispatcher that knows no upstream.
+     * Creates a dispatcher without upstreams.
      *
      * @param zone the gateway's availability zone
-     * @param allowances makes the allowance of each service
-     * @param random source of routing choices and of the spread of returning callers
+     * @param retryBudgets factory of the retry budget of each service
+     * @param random source of randomness for upstream selection and for the jitter of retry delays
      */
-    public GatewayDispatcher(String zone, Supplier<RepeatAllowance> allowances, RandomGenerator random) {
-        this.choice = new UpstreamChoice(zone, random);
-        this.retryAfter = new RetryAfterPolicy(random);
-        this.allowances = allowances;
+    public GatewayDispatcher(String zone, Supplier<GatewayRetryBudget> retryBudgets, RandomGenerator random) {
+        this.selector = new UpstreamSelector(zone, random);
+        this.retryAfterPolicy = new RetryAfterPolicy(random);
+        this.retryBudgets = retryBudgets;
     }
 
     /**
-     * Takes one event.
+     * Handles an event.
      *
-     * @param event what happened
+     * @param event the event to handle
      * @param nowNanos monotonic time in ns
-     * @return what the shell must do, in order
+     * @return actions for the shell to perform, in order
      */
-    public List<GatewayAction> on(GatewayEvent event, long nowNanos) {
+    public List<GatewayAction> handle(GatewayEvent event, long nowNanos) {
         Step step = new Step(nowNanos);
         switch (event) {
-            case GatewayEvent.Arrived a -> step.arrived(a.request());
-            case GatewayEvent.CallerGone g ->
-                Optional.ofNullable(open.get(g.request())).ifPresent(step::close);
-            case GatewayEvent.Progress p -> step.progress(p);
-            case GatewayEvent.Ended e -> step.ended(e);
-            case GatewayEvent.Listed l -> directory.listed(l.upstreams(), nowNanos);
-            case GatewayEvent.SpeedTold t -> directory.find(t.upstream()).ifPresent(u -> step.told(u, t.slowness()));
+            case GatewayEvent.RequestArrived a -> step.requestArrived(a.request());
+            case GatewayEvent.CallerDisconnected d ->
+                Optional.ofNullable(openById.get(d.request())).ifPresent(step::close);
+            case GatewayEvent.ResponseProgress p -> step.responseProgress(p);
+            case GatewayEvent.AttemptEnded e -> step.attemptEnded(e);
+            case GatewayEvent.UpstreamsUpdated u -> registry.replaceAll(u.upstreams(), nowNanos);
+            case GatewayEvent.SpeedReported s ->
+                registry.find(s.upstream()).ifPresent(u -> step.speedReported(u, s.slowness()));
             case GatewayEvent.Tick t -> step.tick();
         }
-        return step.out;
+        return step.actions;
     }
 
     /**
-     * Returns the requests without a final answer.
+     * Returns the number of requests without a final outcome.
      *
-     * @return count
+     * @return number of open requests
      */
     public int openRequests() {
-        return open.size();
+        return openById.size();
     }
 
     /**
      * Returns the upstreams of a service.
      *
-     * @param service its name
-     * @return what is known of each
+     * @param service name of the service
+     * @return state of each listed upstream
      */
     public List<UpstreamState> upstreams(String service) {
-        return directory.ofService(service);
+        return registry.ofService(service);
     }
 
-    private RepeatAllowance allowance(String service) {
-        return repeats.computeIfAbsent(service, s -> allowances.get());
+    private GatewayRetryBudget retryBudget(String service) {
+        return budgetByService.computeIfAbsent(service, s -> retryBudgets.get());
     }
 
     private AdmissionQueue queue(String service) {
@@ -126,322 +127,322 @@
         return queue(o.request.service());
     }
 
-    /** The handling of one event. */
+    /** Handles one event and collects the resulting actions. */
     private final class Step {
         private final long nowNanos;
-        private final List<GatewayAction> out = new ArrayList<>();
+        private final List<GatewayAction> actions = new ArrayList<>();
 
         private Step(long nowNanos) {
             this.nowNanos = nowNanos;
         }
 
-        private void arrived(GatewayRequest r) {
-            allowance(r.service()).request(nowNanos);
+        private void requestArrived(GatewayRequest r) {
+            retryBudget(r.service()).recordRequest(nowNanos);
             OpenGatewayRequest o = new OpenGatewayRequest(r);
-            open.put(r.id(), o);
+            openById.put(r.id(), o);
             byDeadline.add(r);
-            if (queue(o).tryPass(r, nowNanos)) {
+            if (queue(o).tryAdmit(r, nowNanos)) {
                 send(o, Reason.NO_UPSTREAM);
             } else {
-                await(o);
+                waitOrFail(o);
             }
         }
 
-        /** Lets a request wait for room, or refuses it if its caller wouldn't wait. */
-        private void await(OpenGatewayRequest o) {
-            if (!queue(o).tryWait(o, nowNanos)) {
-                giveUp(o, Reason.NO_UPSTREAM);
+        /** Queues a request, or refuses it if it can't be sent before its caller stops waiting. */
+        private void waitOrFail(OpenGatewayRequest o) {
+            if (!queue(o).tryEnqueue(o, nowNanos)) {
+                fail(o, Reason.NO_UPSTREAM);
             }
         }
 
-        private void release(AdmissionQueue queue) {
+        private void sendWaiting(AdmissionQueue queue) {
             for (OpenGatewayRequest o : queue.pollSendable(nowNanos)) {
-                if (o.attempts == 0 || tryRepeat(o)) {
+                if (o.attemptCount == 0 || tryRetry(o)) {
                     send(o, Reason.NO_UPSTREAM);
                 } else {
-                    giveUp(o, Reason.NO_UPSTREAM);
+                    fail(o, Reason.NO_UPSTREAM);
                 }
             }
         }
 
-        /** Sends the next attempt, or gives the request up for the given reason if there is nowhere to send it. */
-        private void send(OpenGatewayRequest o, Reason otherwise) {
+        /** Sends the next attempt, or fails the request with the given reason if no upstream accepts it. */
+        private void send(OpenGatewayRequest o, Reason noUpstreamReason) {
             GatewayRequest r = o.request;
-            Duration left = Duration.ofNanos(r.deadlineNanos() - nowNanos);
-            if (left.compareTo(LEAST_REMAINING) < 0) {
-                giveUp(o, Reason.DEADLINE);
+            Duration remaining = Duration.ofNanos(r.deadlineNanos() - nowNanos);
+            if (remaining.compareTo(MIN_REMAINING) < 0) {
+                fail(o, Reason.DEADLINE);
                 return;
             }
-            Optional<UpstreamState> chosen = choice.choose(directory.ofService(r.service()), o.tried, nowNanos);
+            Optional<UpstreamState> chosen = selector.select(registry.ofService(r.service()), o.triedIds, nowNanos);
             if (chosen.isEmpty()) {
-                giveUp(o, otherwise);
+                fail(o, noUpstreamReason);
                 return;
             }
             UpstreamState u = chosen.get();
-            long number = nextAttempt++;
+            long number = nextAttemptNumber++;
             o.attempt = Optional.of(new OpenGatewayRequest.Attempt(number, u, nowNanos));
-            o.tried.add(u.listed().id());
-            o.attempts++;
+            o.triedIds.add(u.entry().id());
+            o.attemptCount++;
             byAttempt.put(number, o);
-            u.sent();
-            queue(o).sent(o.attempt.get(), r, nowNanos);
-            out.add(new GatewayAction.Send(r, number, u.listed(), left, r.admissionRank(nowNanos)));
+            u.attemptSent();
+            queue(o).recordSent(o.attempt.get(), r, nowNanos);
+            actions.add(new GatewayAction.Send(r, number, u.entry(), remaining, r.admissionRank(nowNanos)));
         }
 
-        private void progress(GatewayEvent.Progress p) {
+        private void responseProgress(GatewayEvent.ResponseProgress p) {
             OpenGatewayRequest o = byAttempt.get(p.attempt());
             if (o == null) {
                 return;
             }
             OpenGatewayRequest.Attempt a = o.attempt.orElseThrow();
-            if (o.begun) {
-                watch(o.request, nowNanos - a.progressNanos);
+            if (o.isResponseStarted) {
+                checkGap(o.request, nowNanos - a.progressNanos);
             }
-            o.begun |= p.begun();
+            o.isResponseStarted |= p.isResponseStarted();
             a.progressNanos = nowNanos;
-            a.upstream.progressed(nowNanos);
-            noteAnswer(a);
-            if (o.begun) {
-                queue(o).settled(a);
+            a.upstream.recordProgress(nowNanos);
+            recordResponse(a);
+            if (o.isResponseStarted) {
+                queue(o).recordSettled(a);
             }
-            release(queue(o));
+            sendWaiting(queue(o));
         }
 
-        /** Asks the upstreams of a service for their speeds if the parts of its answers come too far apart. */
-        private void watch(GatewayRequest r, long gapNanos) {
-            SlownessWatch watch = watches.computeIfAbsent(r.service(), s -> new SlownessWatch());
-            watch.gap(gapNanos);
-            List<UpstreamState> all = directory.ofService(r.service());
-            boolean knowsSlow = all.stream().anyMatch(UpstreamState::isSlow);
+        /** Queries the speeds of all upstreams of a service if the gaps within its responses are too long. */
+        private void checkGap(GatewayRequest r, long gapNanos) {
+            SlownessDetector detector = detectorByService.computeIfAbsent(r.service(), s -> new SlownessDetector());
+            detector.recordGap(gapNanos);
+            List<UpstreamState> all = registry.ofService(r.service());
+            boolean hasSlowUpstream = all.stream().anyMatch(UpstreamState::isSlow);
             if (r.route().targetGap().isPositive()
-                    && watch.tryAsk(r.route().targetGap(), all.size(), knowsSlow, nowNanos)) {
-                out.add(new GatewayAction.AskSpeeds(
-                        all.stream().map(UpstreamState::listed).toList()));
+                    && detector.tryStartQuery(r.route().targetGap(), all.size(), hasSlowUpstream, nowNanos)) {
+                actions.add(new GatewayAction.QuerySpeeds(
+                        all.stream().map(UpstreamState::entry).toList()));
             }
         }
 
-        /** Takes the speed of an upstream; the streams of one that turned slow go on elsewhere. */
-        private void told(UpstreamState u, double slowness) {
+        /** Records the reported speed of an upstream and resumes its streams elsewhere if it became slow. */
+        private void speedReported(UpstreamState u, double slowness) {
             boolean wasSlow = u.isSlow();
-            u.told(slowness);
-            if (wasSlow || !u.isSlow() || !canOthersTakeOver(u.listed().service())) {
+            u.recordReportedSlowness(slowness);
+            if (wasSlow || !u.isSlow() || !canOthersTakeOver(u.entry().service())) {
                 return;
             }
-            for (OpenGatewayRequest o : List.copyOf(open.values())) {
-                boolean isThere = o.attempt.isPresent() && o.attempt.get().upstream == u;
-                if (isThere && o.request.route().repeat() == Route.Repeat.RESUMABLE && mayRepeat(o)) {
-                    moveOn(o);
+            for (OpenGatewayRequest o : List.copyOf(openById.values())) {
+                boolean isAffected = o.attempt.isPresent() && o.attempt.get().upstream == u;
+                if (isAffected && o.request.route().repeat() == Route.Repeat.RESUMABLE && canRetry(o)) {
+                    retryElsewhere(o);
                 }
             }
         }
 
         private boolean canOthersTakeOver(String service) {
-            List<UpstreamState> all = directory.ofService(service);
+            List<UpstreamState> all = registry.ofService(service);
             long slow = all.stream().filter(UpstreamState::isSlow).count();
-            return slow <= Math.max(1, SLOW_SHARE * all.size());
+            return slow <= Math.max(1, MAX_SLOW_FRACTION * all.size());
         }
 
-        private void ended(GatewayEvent.Ended e) {
+        private void attemptEnded(GatewayEvent.AttemptEnded e) {
             OpenGatewayRequest o = byAttempt.remove(e.attempt());
             if (o == null) {
                 return;
             }
             OpenGatewayRequest.Attempt a = o.attempt.orElseThrow();
             o.attempt = Optional.empty();
-            a.upstream.ended();
-            queue(o).settled(a);
-            learn(a, e.outcome());
-            settle(o, a, e.outcome());
-            release(queue(o));
+            a.upstream.attemptEnded();
+            queue(o).recordSettled(a);
+            recordOutcome(a, e.outcome());
+            resolve(o, a, e.outcome());
+            sendWaiting(queue(o));
         }
 
-        private void noteAnswer(OpenGatewayRequest.Attempt a) {
-            String service = a.upstream.listed().service();
-            if (queue(service).answers(a.sentNanos, nowNanos)) {
-                noteGroup(service);
+        private void recordResponse(OpenGatewayRequest.Attempt a) {
+            String service = a.upstream.entry().service();
+            if (queue(service).recordResponse(a.sentNanos, nowNanos)) {
+                reportGroupState(service);
             }
         }
 
-        private void noteGroup(String service) {
+        private void reportGroupState(String service) {
             AdmissionQueue queue = queue(service);
-            out.add(new GatewayAction.GroupNoted(service, queue.isDown(), queue.size()));
+            actions.add(new GatewayAction.GroupStateChanged(service, queue.isDown(), queue.size()));
         }
 
-        private void learn(OpenGatewayRequest.Attempt a, AttemptOutcome outcome) {
+        private void recordOutcome(OpenGatewayRequest.Attempt a, AttemptOutcome outcome) {
             switch (outcome) {
-                case AttemptOutcome.Whole w -> {
-                    a.upstream.succeeded(millisSince(a.sentNanos), nowNanos);
-                    noteAnswer(a);
+                case AttemptOutcome.Completed c -> {
+                    a.upstream.recordSuccess(millisSince(a.sentNanos), nowNanos);
+                    recordResponse(a);
                 }
-                case AttemptOutcome.Failed f -> a.upstream.failed(nowNanos);
-                case AttemptOutcome.Broken b -> a.upstream.failed(nowNanos);
-                case AttemptOutcome.Unreached u -> a.upstream.unreached(nowNanos);
+                case AttemptOutcome.Failed f -> a.upstream.recordFailure(nowNanos);
+                case AttemptOutcome.Broken b -> a.upstream.recordFailure(nowNanos);
+                case AttemptOutcome.Unreached u -> a.upstream.recordUnreachable(nowNanos);
                 case AttemptOutcome.Rejected r -> pause(a.upstream, r.cause());
             }
         }
 
         private void pause(UpstreamState u, AttemptOutcome.Rejected.Cause cause) {
-            Duration time = switch (cause) {
-                case FULL -> FULL_PAUSE;
+            Duration duration = switch (cause) {
+                case FULL -> QUEUE_FULL_PAUSE;
                 case MISDIRECTED -> MISDIRECTED_PAUSE;
                 case GROUP_BROKEN, UNACCEPTABLE -> Duration.ZERO;
             };
-            u.pause(time.toNanos(), nowNanos);
+            u.pause(duration.toNanos(), nowNanos);
         }
 
-        private void settle(OpenGatewayRequest o, OpenGatewayRequest.Attempt a, AttemptOutcome outcome) {
+        private void resolve(OpenGatewayRequest o, OpenGatewayRequest.Attempt a, AttemptOutcome outcome) {
             switch (outcome) {
-                case AttemptOutcome.Whole w -> deliver(o, a);
+                case AttemptOutcome.Completed c -> deliver(o, a);
                 case AttemptOutcome.Failed f -> {
-                    o.mayHaveRun = Optional.of(Reason.ANSWER_BROKEN);
-                    if (o.request.route().isRepeatable() && tryRepeat(o)) {
+                    o.mayHaveRunReason = Optional.of(Reason.ANSWER_BROKEN);
+                    if (o.request.route().isRepeatable() && tryRetry(o)) {
                         send(o, Reason.ANSWER_BROKEN);
-                    } else if (o.begun) {
-                        giveUp(o, Reason.ANSWER_BROKEN);
+                    } else if (o.isResponseStarted) {
+                        fail(o, Reason.ANSWER_BROKEN);
                     } else {
                         deliver(o, a);
                     }
                 }
                 case AttemptOutcome.Unreached u -> {
-                    o.attempts--;
+                    o.attemptCount--;
                     send(o, Reason.UPSTREAM_UNREACHABLE);
                 }
                 case AttemptOutcome.Rejected r
                 when r.cause() == AttemptOutcome.Rejected.Cause.GROUP_BROKEN -> {
-                    groupBroken(o, a);
+                    handleGroupBroken(o, a);
                 }
-                case AttemptOutcome.Rejected r -> repeatOrGiveUp(o, Reason.OVERLOADED);
+                case AttemptOutcome.Rejected r -> retryOrFail(o, Reason.OVERLOADED);
                 case AttemptOutcome.Broken b -> {
-                    o.mayHaveRun = Optional.of(b.reason());
-                    if (o.request.route().isRepeatable() && !isHopeless(o)) {
-                        repeatOrGiveUp(o, b.reason());
+                    o.mayHaveRunReason = Optional.of(b.reason());
+                    if (o.request.route().isRepeatable() && !isStartedAndGroupDown(o)) {
+                        retryOrFail(o, b.reason());
                     } else {
-                        giveUp(o, b.reason());
+                        fail(o, b.reason());
                     }
                 }
             }
         }
 
-        /** Waits for the group, unless others of the service answer, as members of another group. */
-        private void groupBroken(OpenGatewayRequest o, OpenGatewayRequest.Attempt a) {
-            if (isAnyLively(o.request.service(), a.upstream)) {
+        /** Queues a request until its group recovers, or retries it if another group of the service responds. */
+        private void handleGroupBroken(OpenGatewayRequest o, OpenGatewayRequest.Attempt a) {
+            if (hasOtherActiveUpstream(o.request.service(), a.upstream)) {
                 a.upstream.pause(OTHER_GROUP_PAUSE.toNanos(), nowNanos);
-                repeatOrGiveUp(o, Reason.NO_UPSTREAM);
+                retryOrFail(o, Reason.NO_UPSTREAM);
                 return;
             }
-            if (queue(o).broken(nowNanos)) {
-                noteGroup(o.request.service());
+            if (queue(o).recordGroupDown(nowNanos)) {
+                reportGroupState(o.request.service());
             }
-            await(o);
+            waitOrFail(o);
         }
 
-        private boolean isAnyLively(String service, UpstreamState except) {
-            return directory.ofService(service).stream()
-                    .anyMatch(u -> u != except && nowNanos - u.lastProgressNanos() < RECENT.toNanos());
+        private boolean hasOtherActiveUpstream(String service, UpstreamState except) {
+            return registry.ofService(service).stream()
+                    .anyMatch(u -> u != except && nowNanos - u.lastProgressNanos() < ACTIVITY_WINDOW.toNanos());
         }
 
-        /** Says whether a stream has begun whose group is down: its caller won't wait until the group is whole. */
-        private boolean isHopeless(OpenGatewayRequest o) {
-            return o.begun && queue(o).isDown();
+        /** Returns whether the response has started and its group is down: the caller won't wait for a recovery. */
+        private boolean isStartedAndGroupDown(OpenGatewayRequest o) {
+            return o.isResponseStarted && queue(o).isDown();
         }
 
-        private boolean mayRepeat(OpenGatewayRequest o) {
-            return o.attempts < o.request.route().maxAttempts()
-                    && nowNanos + LEAST_REMAINING.toNanos() < o.request.deadlineNanos()
-                    && choice.choose(directory.ofService(o.request.service()), o.tried, nowNanos)
+        private boolean canRetry(OpenGatewayRequest o) {
+            return o.attemptCount < o.request.route().maxAttempts()
+                    && nowNanos + MIN_REMAINING.toNanos() < o.request.deadlineNanos()
+                    && selector.select(registry.ofService(o.request.service()), o.triedIds, nowNanos)
                             .isPresent();
         }
 
-        private boolean tryRepeat(OpenGatewayRequest o) {
-            return mayRepeat(o) && allowance(o.request.service()).tryRepeat(nowNanos);
+        private boolean tryRetry(OpenGatewayRequest o) {
+            return canRetry(o) && retryBudget(o.request.service()).tryRetry(nowNanos);
         }
 
-        private void repeatOrGiveUp(OpenGatewayRequest o, Reason reason) {
-            if (tryRepeat(o)) {
+        private void retryOrFail(OpenGatewayRequest o, Reason reason) {
+            if (tryRetry(o)) {
                 send(o, reason);
             } else {
-                giveUp(o, reason);
+                fail(o, reason);
             }
         }
 
         private void deliver(OpenGatewayRequest o, OpenGatewayRequest.Attempt a) {
             close(o);
-            out.add(new GatewayAction.Deliver(o.request.id(), a.number));
+            actions.add(new GatewayAction.Deliver(o.request.id(), a.number));
         }
 
-        private void giveUp(OpenGatewayRequest o, Reason reason) {
+        private void fail(OpenGatewayRequest o, Reason reason) {
             close(o);
-            Verdict verdict = o.mayHaveRun.isPresent()
-                    ? new Verdict.MayHaveRun(reason == Reason.DEADLINE ? reason : o.mayHaveRun.get())
-                    : new Verdict.NotRun(reason, retryAfter.after(reason, o.request, nowNanos));
-            out.add(
-                    o.begun
-                            ? new GatewayAction.BreakOff(o.request.id(), verdict)
+            Verdict verdict = o.mayHaveRunReason.isPresent()
+                    ? new Verdict.MayHaveRun(reason == Reason.DEADLINE ? reason : o.mayHaveRunReason.get())
+                    : new Verdict.NotRun(reason, retryAfterPolicy.retryAfter(reason, o.request, nowNanos));
+            actions.add(
+                    o.isResponseStarted
+                            ? new GatewayAction.AbortResponse(o.request.id(), verdict)
                             : new GatewayAction.Refuse(o.request.id(), verdict));
         }
 
         private void close(OpenGatewayRequest o) {
-            open.remove(o.request.id());
+            openById.remove(o.request.id());
             byDeadline.remove(o.request);
             queue(o).remove(o);
             o.attempt.ifPresent(a -> {
                 byAttempt.remove(a.number);
-                a.upstream.ended();
-                queue(o).settled(a);
-                out.add(new GatewayAction.Cancel(a.number));
+                a.upstream.attemptEnded();
+                queue(o).recordSettled(a);
+                actions.add(new GatewayAction.Cancel(a.number));
             });
             o.attempt = Optional.empty();
         }
 
         private void tick() {
             while (!byDeadline.isEmpty() && byDeadline.first().deadlineNanos() <= nowNanos) {
-                expire(open.get(byDeadline.first().id()));
+                expire(openById.get(byDeadline.first().id()));
             }
-            for (OpenGatewayRequest o : List.copyOf(open.values())) {
-                if (isSilent(o)) {
-                    o.attempt.get().upstream.failed(nowNanos);
-                    moveOn(o);
+            for (OpenGatewayRequest o : List.copyOf(openById.values())) {
+                if (isStalled(o)) {
+                    o.attempt.get().upstream.recordFailure(nowNanos);
+                    retryElsewhere(o);
                 }
             }
             queues.values().forEach(this::tick);
         }
 
         private void tick(AdmissionQueue queue) {
-            queue.pollOverdue(nowNanos).forEach(o -> giveUp(o, Reason.NO_UPSTREAM));
-            release(queue);
+            queue.pollOverdue(nowNanos).forEach(o -> fail(o, Reason.NO_UPSTREAM));
+            sendWaiting(queue);
         }
 
         private void expire(OpenGatewayRequest o) {
-            o.attempt.ifPresent(a -> o.mayHaveRun = Optional.of(Reason.DEADLINE));
-            giveUp(o, Reason.DEADLINE);
+            o.attempt.ifPresent(a -> o.mayHaveRunReason = Optional.of(Reason.DEADLINE));
+            fail(o, Reason.DEADLINE);
         }
 
-        /** Says whether an attempt that could be repeated seems lost while its service goes on. */
-        private boolean isSilent(OpenGatewayRequest o) {
-            if (o.attempt.isEmpty() || !o.request.route().isRepeatable() || !mayRepeat(o)) {
+        /** Returns whether a retryable attempt makes no progress while others of its service do. */
+        private boolean isStalled(OpenGatewayRequest o) {
+            if (o.attempt.isEmpty() || !o.request.route().isRepeatable() || !canRetry(o)) {
                 return false;
             }
             OpenGatewayRequest.Attempt a = o.attempt.get();
-            Duration bound = o.request.route().streaming()
-                    ? SILENCE
-                    : o.request.route().target().multipliedBy(SLOW_ANSWER_TARGETS);
-            if (nowNanos - Math.max(a.progressNanos, a.upstream.lastProgressNanos()) < bound.toNanos()) {
+            Duration timeout = o.request.route().streaming()
+                    ? STREAM_STALL_TIMEOUT
+                    : o.request.route().target().multipliedBy(STALL_TARGET_MULTIPLE);
+            if (nowNanos - Math.max(a.progressNanos, a.upstream.lastProgressNanos()) < timeout.toNanos()) {
                 return false;
             }
-            return isAnyLively(o.request.service(), a.upstream);
+            return hasOtherActiveUpstream(o.request.service(), a.upstream);
         }
 
-        private void moveOn(OpenGatewayRequest o) {
-            if (!allowance(o.request.service()).tryRepeat(nowNanos)) {
+        private void retryElsewhere(OpenGatewayRequest o) {
+            if (!retryBudget(o.request.service()).tryRetry(nowNanos)) {
                 return;
             }
             OpenGatewayRequest.Attempt a = o.attempt.orElseThrow();
             byAttempt.remove(a.number);
-            a.upstream.ended();
-            queue(o).settled(a);
+            a.upstream.attemptEnded();
+            queue(o).recordSettled(a);
             o.attempt = Optional.empty();
-            o.mayHaveRun = Optional.of(Reason.CONNECTION_LOST);
-            out.add(new GatewayAction.Cancel(a.number));
+            o.mayHaveRunReason = Optional.of(Reason.CONNECTION_LOST);
+            actions.add(new GatewayAction.Cancel(a.number));
             send(o, Reason.CONNECTION_LOST);
         }
 
--- a/core/src/main/java/org/citrontide/core/gateway/GatewayEvent.java
+++ b/core/src/main/java/org/citrontide/core/gateway/GatewayEvent.java
@@ -4,60 +4,60 @@
 
 import org.citrontide.core.routes.ListedUpstream;
 
-/** What happens to a {@link GatewayDispatcher}. Immutable. */
+/** An input event of a {@link GatewayDispatcher}. Immutable. */
 public sealed interface GatewayEvent {
 
     /**
-     * A caller's request passed the filters.
+     * A request arrived and passed the filters.
      *
      * @param request the request
      */
-    record Arrived(GatewayRequest request) implements GatewayEvent {}
+    record RequestArrived(GatewayRequest request) implements GatewayEvent {}
 
     /**
-     * The caller went away.
+     * The caller of a request disconnected.
      *
      * @param request number of the request
      */
-    record CallerGone(long request) implements GatewayEvent {}
+    record CallerDisconnected(long request) implements GatewayEvent {}
 
     /**
-     * Bytes of an answer arrived.
+     * Bytes of a response arrived.
      *
      * @param attempt number of the attempt
-     * @param begun whether the caller has the head of the answer now
+     * @param isResponseStarted whether the head of the response has been sent to the caller
      */
-    record Progress(long attempt, boolean begun) implements GatewayEvent {}
+    record ResponseProgress(long attempt, boolean isResponseStarted) implements GatewayEvent {}
 
     /**
      * An attempt ended.
      *
      * @param attempt number of the attempt
-     * @param outcome how
+     * @param outcome outcome of the attempt
      */
-    record Ended(long attempt, AttemptOutcome outcome) implements GatewayEvent {}
+    record AttemptEnded(long attempt, AttemptOutcome outcome) implements GatewayEvent {}
 
     /**
      * The list of upstreams changed.
      *
-     * @param upstreams all upstreams that may be used
+     * @param upstreams all usable upstreams
      */
-    record Listed(List<ListedUpstream> upstreams) implements GatewayEvent {
+    record UpstreamsUpdated(List<ListedUpstream> upstreams) implements GatewayEvent {
 
         /** Copies the list. */
-        public Listed {
+        public UpstreamsUpdated {
             upstreams = List.copyOf(upstreams);
         }
     }
 
     /**
-     * An upstream told how fast it is.
+     * An upstream reported its speed.
      *
-     * @param upstream its identity
-     * @param slowness time of its work relative to a healthy one, 1 or more
+     * @param upstream identity of the upstream
+     * @param slowness duration of its work relative to a healthy upstream, 1 or more
      */
-    record SpeedTold(String upstream, double slowness) implements GatewayEvent {}
+    record SpeedReported(String upstream, double slowness) implements GatewayEvent {}
 
-    /** Time passed. */
+    /** The periodic timer fired. */
     record Tick() implements GatewayEvent {}
 }
--- a/core/src/main/java/org/citrontide/core/gateway/GatewayRequest.java
+++ b/core/src/main/java/org/citrontide/core/gateway/GatewayRequest.java
@@ -5,18 +5,18 @@
 import org.citrontide.core.routes.Route;
 
 /**
- * What decisions need to know of a caller's request. Immutable.
+ * The properties of a request that dispatch decisions depend on. Immutable.
  *
- * @param id number of the request, never used twice in a process
- * @param route its route
- * @param service service that it goes to, one of the route's
+ * @param id number of the request, unique within a process
+ * @param route route of the request
+ * @param service service that receives the request, one of the route's
  * @param team name of the caller's team, empty if the route needs no key
- * @param rank order of admission, 0 first
- * @param promptTokens tokens of the prompt, 0 if it has none
- * @param answerTokens tokens expected in the answer, 0 if it has none
- * @param waited time for which its caller had waited before it came, as far as is known
- * @param arrivedNanos monotonic time of its arrival, ns
- * @param deadlineNanos monotonic time at which its final answer is due, ns
+ * @param rank rank in the admission order, 0 first
+ * @param promptTokens number of prompt tokens, 0 if there is no prompt
+ * @param answerTokens expected number of completion tokens, 0 if there is no completion
+ * @param waited estimated time that the caller had waited before this request arrived
+ * @param arrivedNanos monotonic time of arrival in ns
+ * @param deadlineNanos monotonic time in ns by which the final response is due
  */
 public record GatewayRequest(
         long id,
@@ -29,27 +29,27 @@
         Duration waited,
         long arrivedNanos,
         long deadlineNanos) {
-    // Requests whose answer can't be on time any more come after all that can; platforms tell ten ranks apart.
-    private static final int LATE_RANKS = 3;
+    // Ranks late requests behind all that can still be on time; the platform distinguishes ten ranks.
+    private static final int LATE_RANK_OFFSET = 3;
 
     /**
-     * Says whether an answer would come too late to be on time.
+     * Returns whether the response can no longer be on time.
      *
      * @param nowNanos monotonic time in ns
-     * @return true if its caller has waited for longer than the target of its route
+     * @return true if the caller has waited longer than the target latency of the route
      */
     public boolean isLate(long nowNanos) {
         return waited.toNanos() + nowNanos - arrivedNanos > route.target().toNanos();
     }
 
     /**
-     * Returns the order of admission at an upstream. The load that it answers: callers that come back together after an
-     * outage, beside new ones that can still be answered on time.
+     * Returns the rank in the admission order of an upstream. After an outage this ranks the retries of many callers
+     * after new requests that can still be served on time.
      *
      * @param nowNanos monotonic time in ns
-     * @return order, 0 first
+     * @return rank, 0 first
      */
     public int admissionRank(long nowNanos) {
-        return isLate(nowNanos) ? rank + LATE_RANKS : rank;
+        return isLate(nowNanos) ? rank + LATE_RANK_OFFSET : rank;
     }
 }
--- /dev/null
+++ b/core/src/main/java/org/citrontide/core/gateway/GatewayRetryBudget.java
@@ -0,0 +1,64 @@
+package org.citrontide.core.gateway;
+
+import java.time.Duration;
+import java.util.ArrayDeque;
+import java.util.Deque;
+
+/**
+ * Limits the retries that one gateway sends to a service, so that retries don't amplify an overload.
+ *
+ * <p>Invariant: the retries in any window are at most the ratio times the requests in that window, plus this gateway's
+ * share of the slack. Not thread-safe.
+ */
+public final class GatewayRetryBudget {
+    private final double ratio;
+    private final long windowNanos;
+    private final RetrySlackShare slack;
+    private final Deque<Long> requestNanos = new ArrayDeque<>();
+    private final Deque<Long> retryNanos = new ArrayDeque<>();
+
+    /**
+     * Creates a retry budget.
+     *
+     * @param ratio retries allowed per request
+     * @param window length of the sliding window over which requests and retries are counted
+     * @param slack this gateway's share of the retries allowed per window regardless of the number of requests
+     */
+    public GatewayRetryBudget(double ratio, Duration window, RetrySlackShare slack) {
+        this.ratio = ratio;
+        this.windowNanos = window.toNanos();
+        this.slack = slack;
+    }
+
+    /**
+     * Records a request.
+     *
+     * @param nowNanos monotonic time in ns
+     */
+    public void recordRequest(long nowNanos) {
+        requestNanos.add(nowNanos);
+        removeExpired(requestNanos, nowNanos);
+    }
+
+    /**
+     * Spends one retry if the budget allows it.
+     *
+     * @param nowNanos monotonic time in ns
+     * @return false if the budget of the window is exhausted
+     */
+    public boolean tryRetry(long nowNanos) {
+        removeExpired(requestNanos, nowNanos);
+        removeExpired(retryNanos, nowNanos);
+        if (retryNanos.size() + 1 > ratio * requestNanos.size() + slack.retriesPerWindow()) {
+            return false;
+        }
+        retryNanos.add(nowNanos);
+        return true;
+    }
+
+    private void removeExpired(Deque<Long> times, long nowNanos) {
+        while (!times.isEmpty() && nowNanos - times.peekFirst() > windowNanos) {
+            times.removeFirst();
+        }
+    }
+}
--- a/core/src/main/java/org/citrontide/core/gateway/MembershipView.java
+++ b/core/src/main/java/org/citrontide/core/gateway/MembershipView.java
@@ -11,106 +11,106 @@
 import org.citrontide.core.routes.ListedUpstream;
 
 /**
- * The list of upstreams as one gateway believes it, made of the store's entries and of their removals.
+ * One gateway's view of the available upstreams, built from the store's entries and their removals.
  *
- * <p>Invariants: an entry that is removed while the store works is gone at once; one that is missing after the store
- * was away stays until the upstream had time to write it again, since entries lapse while nobody can renew them. Not
- * thread-safe.
+ * <p>Invariants: an entry that is removed while the store is available is dropped immediately; one that is missing
+ * after an outage of the store is kept for a grace period, because entries expire while upstreams can't renew them and
+ * each upstream needs time to write its entry again. Not thread-safe.
  */
 public final class MembershipView {
-    // Live upstreams have written their entries again by then.
-    private static final Duration RETURN_GRACE = Duration.ofMillis(2200);
+    // After an outage of the store, live upstreams write their entries again within this time.
+    private static final Duration REREGISTRATION_GRACE = Duration.ofMillis(2200);
 
-    private final Map<String, ListedUpstream> present = new HashMap<>();
-    private final Map<String, ListedUpstream> lapsed = new HashMap<>();
-    private boolean away;
-    private long backNanos;
-    private boolean wasAway;
+    private final Map<String, ListedUpstream> current = new HashMap<>();
+    private final Map<String, ListedUpstream> expired = new HashMap<>();
+    private boolean isStoreUnavailable;
+    private long availableSinceNanos;
+    private boolean hadOutage;
 
-    /** Learns that the store does not answer. */
-    public void storeAway() {
-        away = true;
+    /** Records that the store does not respond. */
+    public void storeUnavailable() {
+        isStoreUnavailable = true;
     }
 
     /**
-     * Learns that the store answers.
+     * Records that the store responds.
      *
      * @param nowNanos monotonic time in ns
      */
-    public void storeAnswers(long nowNanos) {
-        if (away) {
-            away = false;
-            wasAway = true;
-            backNanos = nowNanos;
+    public void storeAvailable(long nowNanos) {
+        if (isStoreUnavailable) {
+            isStoreUnavailable = false;
+            hadOutage = true;
+            availableSinceNanos = nowNanos;
         }
     }
 
     /**
-     * Takes the whole list.
+     * Replaces all entries.
      *
-     * @param upstreams all entries that can be used
+     * @param upstreams all usable entries
      * @param nowNanos monotonic time in ns
      */
     public void replaceAll(List<ListedUpstream> upstreams, long nowNanos) {
         Set<String> ids = new HashSet<>();
         upstreams.forEach(u -> ids.add(u.id()));
-        for (String id : List.copyOf(present.keySet())) {
+        for (String id : List.copyOf(current.keySet())) {
             if (!ids.contains(id)) {
-                removed(id, nowNanos);
+                entryRemoved(id, nowNanos);
             }
         }
-        upstreams.forEach(this::written);
+        upstreams.forEach(this::entryWritten);
     }
 
     /**
-     * Takes a new or changed entry.
+     * Adds or replaces an entry.
      *
      * @param upstream the entry
      */
-    public void written(ListedUpstream upstream) {
-        present.put(upstream.id(), upstream);
-        lapsed.remove(upstream.id());
+    public void entryWritten(ListedUpstream upstream) {
+        current.put(upstream.id(), upstream);
+        expired.remove(upstream.id());
     }
 
     /**
-     * Takes the removal of an entry, or one that can't be used any more.
+     * Removes an entry that was deleted or has become unusable; during the grace period it is kept as expired.
      *
      * @param id identity of the upstream
      * @param nowNanos monotonic time in ns
      */
-    public void removed(String id, long nowNanos) {
-        ListedUpstream u = present.remove(id);
-        if (u != null && !u.draining() && isSettling(nowNanos)) {
-            lapsed.put(id, u);
+    public void entryRemoved(String id, long nowNanos) {
+        ListedUpstream u = current.remove(id);
+        if (u != null && !u.draining() && isInGracePeriod(nowNanos)) {
+            expired.put(id, u);
         }
     }
 
     /**
-     * Forgets the entries that did not come back.
+     * Drops the expired entries once the grace period has ended.
      *
      * @param nowNanos monotonic time in ns
      * @return true if the list changed
      */
     public boolean expire(long nowNanos) {
-        if (lapsed.isEmpty() || isSettling(nowNanos)) {
+        if (expired.isEmpty() || isInGracePeriod(nowNanos)) {
             return false;
         }
-        lapsed.clear();
+        expired.clear();
         return true;
     }
 
     /**
-     * Returns the upstreams that are believed to be there.
+     * Returns the upstreams considered available.
      *
-     * @return entries in no order
+     * @return entries in no particular order
      */
     public List<ListedUpstream> upstreams() {
-        List<ListedUpstream> all = new ArrayList<>(present.values());
-        all.addAll(lapsed.values());
+        List<ListedUpstream> all = new ArrayList<>(current.values());
+        all.addAll(expired.values());
         return all;
     }
 
-    private boolean isSettling(long nowNanos) {
-        return away || wasAway && nowNanos - backNanos < RETURN_GRACE.toNanos();
+    private boolean isInGracePeriod(long nowNanos) {
+        return isStoreUnavailable || hadOutage && nowNanos - availableSinceNanos < REREGISTRATION_GRACE.toNanos();
     }
 }
--- a/core/src/main/java/org/citrontide/core/gateway/OpenGatewayRequest.java
+++ b/core/src/main/java/org/citrontide/core/gateway/OpenGatewayRequest.java
@@ -7,20 +7,20 @@
 import org.citrontide.core.verdict.Reason;
 
 /**
- * A request without a final answer.
+ * A request without a final outcome.
  *
- * <p>Invariant: at most one attempt is under way. Not thread-safe.
+ * <p>Invariant: at most one attempt is in flight. Not thread-safe.
  */
 final class OpenGatewayRequest {
 
-    /** The attempt under way. */
+    /** An attempt in flight. */
     static final class Attempt {
         final long number;
         final UpstreamState upstream;
         final long sentNanos;
         long progressNanos;
 
-        /** Whether it takes one of the places of late requests whose answer has not begun. */
+        /** Whether the attempt counts towards the limit on late requests whose response has not started. */
         boolean isLatePending;
 
         Attempt(long number, UpstreamState upstream, long sentNanos) {
@@ -32,17 +32,17 @@
     }
 
     final GatewayRequest request;
-    final Set<String> tried = new HashSet<>();
+    final Set<String> triedIds = new HashSet<>();
     Optional<Attempt> attempt = Optional.empty();
 
-    /** Attempts that reached an upstream. */
-    int attempts;
+    /** Number of attempts, without those whose upstream was unreachable. */
+    int attemptCount;
 
-    /** Why an attempt that has ended may have run, if one may have. */
-    Optional<Reason> mayHaveRun = Optional.empty();
+    /** Reason why an earlier attempt may have run, empty if none may have. */
+    Optional<Reason> mayHaveRunReason = Optional.empty();
 
-    /** Whether the caller has the head of the answer. */
-    boolean begun;
+    /** Whether the head of the response has been sent to the caller. */
+    boolean isResponseStarted;
 
     OpenGatewayRequest(GatewayRequest request) {
         this.request = request;
--- a/core/src/main/java/org/citrontide/core/gateway/RetryAfterPolicy.java
+++ b/core/src/main/java/org/citrontide/core/gateway/RetryAfterPolicy.java
@@ -6,20 +6,21 @@
 import org.citrontide.core.verdict.Reason;
 
 /**
- * Tells refused callers when to come back: when room is expected, spread so that they don't return together.
+ * Computes the delay after which a refused caller should retry: the time at which capacity is expected, with jitter to
+ * avoid synchronized retries.
  *
- * <p>The load that it answers: short bursts, and outages of seconds. A caller gives up its own wait after a third of
- * its time, so a later return is never asked for. Not thread-safe; its randomness is passed in.
+ * <p>Designed for short bursts and for outages of several seconds. A caller waits for at most a third of its remaining
+ * time, so the delay never exceeds that. Not thread-safe; the source of randomness is passed in.
  */
 public final class RetryAfterPolicy {
-    // Callers wait at most a third of the time that they have left.
-    private static final double LONGEST_PART = 0.33;
-    private static final Duration FULL = Duration.ofMillis(300);
-    // Most outages of a group or a zone last for several seconds, and most callers come back only once.
-    private static final Duration OUTAGE = Duration.ofSeconds(3);
-    private static final double FULL_SPREAD = 0.5;
-    // Callers that an outage turned away arrived one after another, and return as spread.
-    private static final double OUTAGE_SPREAD = 0.1;
+    // Callers wait for at most a third of their remaining time.
+    private static final double MAX_FRACTION = 0.33;
+    private static final Duration OVERLOAD_DELAY = Duration.ofMillis(300);
+    // Most outages of a group or a zone last several seconds, and most callers retry only once.
+    private static final Duration OUTAGE_DELAY = Duration.ofSeconds(3);
+    private static final double OVERLOAD_JITTER = 0.5;
+    // Callers refused during an outage arrived over time, so their retries are already spread out.
+    private static final double OUTAGE_JITTER = 0.1;
 
     private final RandomGenerator random;
 
@@ -28,20 +29,20 @@
     }
 
     /**
-     * Chooses the time after which a caller should return.
+     * Returns the delay after which a caller should retry.
      *
-     * @param reason why its request was refused
-     * @param r the request
+     * @param reason why the request was refused
+     * @param r the refused request
      * @param nowNanos monotonic time in ns
-     * @return time from now
+     * @return delay from now
      */
-    public Duration after(Reason reason, GatewayRequest r, long nowNanos) {
-        boolean isFull = reason == Reason.OVERLOADED;
-        double spread = isFull ? FULL_SPREAD : OUTAGE_SPREAD;
-        double part = 1 - spread * random.nextDouble();
-        long left = Math.max(0, r.deadlineNanos() - nowNanos);
-        double mean = isFull ? FULL.toNanos() * (1 + spread / 2) : OUTAGE.toNanos();
-        long nanos = (long) (part * Math.min(mean, left * LONGEST_PART));
+    public Duration retryAfter(Reason reason, GatewayRequest r, long nowNanos) {
+        boolean isOverload = reason == Reason.OVERLOADED;
+        double jitter = isOverload ? OVERLOAD_JITTER : OUTAGE_JITTER;
+        double factor = 1 - jitter * random.nextDouble();
+        long remaining = Math.max(0, r.deadlineNanos() - nowNanos);
+        double mean = isOverload ? OVERLOAD_DELAY.toNanos() * (1 + jitter / 2) : OUTAGE_DELAY.toNanos();
+        long nanos = (long) (factor * Math.min(mean, remaining * MAX_FRACTION));
         return Duration.ofNanos(nanos);
     }
 }
--- a/core/src/main/java/org/citrontide/core/gateway/GatewayDirectory.java
+++ b/core/src/main/java/org/citrontide/core/gateway/UpstreamRegistry.java
@@ -12,28 +12,28 @@
 import org.citrontide.core.routes.ListedUpstream;
 
 /**
- * The upstreams that one gateway knows, by identity and by service.
+ * A registry of the upstreams of one gateway, by identity and by service.
  *
- * <p>Invariant: what was learned of an upstream is forgotten when it starts again, also under the same identity. Not
+ * <p>Invariant: the recorded state of an upstream is discarded when it restarts, even under the same identity. Not
  * thread-safe.
  */
-public final class GatewayDirectory {
+public final class UpstreamRegistry {
     private final Map<String, UpstreamState> byId = new TreeMap<>();
     private final Map<String, List<UpstreamState>> byService = new HashMap<>();
 
     /**
-     * Takes a new copy of the list.
+     * Replaces the list of upstreams and keeps the state of those that have not restarted.
      *
-     * @param list all upstreams that may be used
+     * @param list all usable upstreams
      * @param nowNanos monotonic time in ns
      */
-    public void listed(List<ListedUpstream> list, long nowNanos) {
+    public void replaceAll(List<ListedUpstream> list, long nowNanos) {
         Set<String> present = new HashSet<>();
         for (ListedUpstream l : list) {
             present.add(l.id());
             UpstreamState known = byId.get(l.id());
-            if (known != null && known.listed().isSameStart(l)) {
-                known.relisted(l);
+            if (known != null && known.entry().isSameStart(l)) {
+                known.updateEntry(l);
             } else {
                 byId.put(l.id(), new UpstreamState(l, nowNanos));
             }
@@ -42,15 +42,15 @@
         byService.clear();
         byId.values()
                 .forEach(u -> byService
-                        .computeIfAbsent(u.listed().service(), s -> new ArrayList<>())
+                        .computeIfAbsent(u.entry().service(), s -> new ArrayList<>())
                         .add(u));
     }
 
     /**
-     * Lists the upstreams of a service.
+     * Returns the upstreams of a service.
      *
-     * @param service its name
-     * @return all that are listed, in the order of their identities
+     * @param service name of the service
+     * @return upstreams in the order of their identities, empty if none is listed
      */
     public List<UpstreamState> ofService(String service) {
         return byService.getOrDefault(service, List.of());
@@ -59,8 +59,8 @@
     /**
      * Finds an upstream.
      *
-     * @param id its identity
-     * @return the upstream, if it is listed
+     * @param id identity of the upstream
+     * @return the upstream, or empty if it is not listed
      */
     public Optional<UpstreamState> find(String id) {
         return Optional.ofNullable(byId.get(id));
--- /dev/null
+++ b/core/src/main/java/org/citrontide/core/gateway/UpstreamSelector.java
@@ -0,0 +1,66 @@
+package org.citrontide.core.gateway;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import java.util.random.RandomGenerator;
+
+/**
+ * Selects the upstream of an attempt: the one with the lowest cost, with random tie-breaking.
+ *
+ * <p>Spreads the load evenly over the members of a group, because a pass takes as long as on its most loaded member,
+ * and sends little load to slow or failing upstreams. An upstream in another availability zone costs slightly more,
+ * so that a nearby one is preferred among equal ones. Not thread-safe; the source of randomness is passed in.
+ */
+public final class UpstreamSelector {
+    // Covers the round trip to another zone, and is small enough to keep the load of a group balanced.
+    private static final double CROSS_ZONE_COST_FACTOR = 1.02;
+
+    private final String zone;
+    private final RandomGenerator random;
+
+    /**
+     * Creates a selector.
+     *
+     * @param zone the gateway's own availability zone
+     * @param random source of randomness for tie-breaking
+     */
+    public UpstreamSelector(String zone, RandomGenerator random) {
+        this.zone = zone;
+        this.random = random;
+    }
+
+    /**
+     * Selects one of the upstreams of a service.
+     *
+     * @param upstreams upstreams of the service
+     * @param triedIds identities of the upstreams that this request was already sent to
+     * @param nowNanos monotonic time in ns
+     * @return the selected upstream, or empty if none accepts requests
+     */
+    public Optional<UpstreamState> select(List<UpstreamState> upstreams, Set<String> triedIds, long nowNanos) {
+        List<UpstreamState> candidates = new ArrayList<>();
+        double lowestCost = Double.POSITIVE_INFINITY;
+        double baselineLatencyMs = upstreams.stream()
+                .mapToDouble(UpstreamState::latencyMs)
+                .filter(Double::isFinite)
+                .min()
+                .orElse(0);
+        for (UpstreamState u : upstreams) {
+            if (!u.isAccepting(nowNanos) || triedIds.contains(u.entry().id())) {
+                continue;
+            }
+            double zoneFactor = u.entry().zone().equals(zone) ? 1 : CROSS_ZONE_COST_FACTOR;
+            double cost = u.cost(baselineLatencyMs, nowNanos) * zoneFactor;
+            if (cost < lowestCost) {
+                candidates.clear();
+                lowestCost = cost;
+            }
+            if (cost == lowestCost) {
+                candidates.add(u);
+            }
+        }
+        return candidates.isEmpty() ? Optional.empty() : Optional.of(candidates.get(random.nextInt(candidates.size())));
+    }
+}
--- a/core/src/main/java/org/citrontide/core/gateway/UpstreamState.java
+++ b/core/src/main/java/org/citrontide/core/gateway/UpstreamState.java
@@ -5,139 +5,139 @@
 import org.citrontide.core.routes.ListedUpstream;
 
 /**
- * What one gateway knows of one upstream from the list and from its own attempts.
+ * The state of one upstream as seen by one gateway, from the upstream list and from the gateway's own attempts.
  *
- * <p>Invariant: direct evidence goes before the list: an upstream that could not be reached or rejected work gets none
- * until its pause is over. Not thread-safe: owned by the dispatcher's thread.
+ * <p>Invariant: the gateway's own observations take precedence over the list: a listed upstream that was unreachable or
+ * rejected a request receives no requests until its pause ends. Not thread-safe: confined to the dispatcher's thread.
  */
 public final class UpstreamState {
-    // Weight of a new sample against the past: about the last ten attempts count.
+    // Weight of a new sample in the moving averages, which cover about the last ten attempts.
     private static final double SAMPLE_WEIGHT = 0.2;
-    private static final double LEAST_HEALTH = 0.05;
-    // An upstream without failures is fully trusted again after a few of these.
+    private static final double MIN_HEALTH = 0.05;
+    // An upstream without failures has full health again after a few multiples of this time.
     private static final long HEALTH_RECOVERY_NANOS = Duration.ofSeconds(3).toNanos();
     private static final long FIRST_PAUSE_NANOS = Duration.ofMillis(500).toNanos();
     private static final int MAX_DOUBLINGS = 3;
-    // Slower than this, an upstream holds up its group more than its work is worth.
-    private static final double SLOW = 2;
+    // A member slower than this delays its group by more than the work it contributes.
+    private static final double SLOW_THRESHOLD = 2;
 
-    private ListedUpstream listed;
+    private ListedUpstream entry;
     private int inFlight;
-    private int unreachedInRow;
+    private int consecutiveUnreachable;
     private long pausedUntilNanos;
-    private boolean paused;
+    private boolean hasPause;
     private long lastProgressNanos;
     private double health = 1;
-    private long healthNanos;
+    private long healthUpdateNanos;
     private double latencyMs;
     private boolean hasLatency;
-    private double toldSlowness = 1;
+    private double reportedSlowness = 1;
 
-    UpstreamState(ListedUpstream listed, long nowNanos) {
-        this.listed = listed;
-        this.healthNanos = nowNanos;
+    UpstreamState(ListedUpstream entry, long nowNanos) {
+        this.entry = entry;
+        this.healthUpdateNanos = nowNanos;
         this.lastProgressNanos = nowNanos;
     }
 
     /**
-     * Returns the upstream's entry in the list.
+     * Returns the upstream's entry in the upstream list.
      *
-     * @return the newest entry
+     * @return the latest entry
      */
-    public ListedUpstream listed() {
-        return listed;
+    public ListedUpstream entry() {
+        return entry;
     }
 
     /**
-     * Returns this gateway's attempts without an outcome.
+     * Returns the number of this gateway's attempts in flight.
      *
-     * @return count
+     * @return number of attempts without an outcome
      */
     public int inFlight() {
         return inFlight;
     }
 
     boolean isAccepting(long nowNanos) {
-        return !listed.draining() && !isPaused(nowNanos);
+        return !entry.draining() && !isPaused(nowNanos);
     }
 
     boolean isPaused(long nowNanos) {
-        return paused && nowNanos < pausedUntilNanos;
+        return hasPause && nowNanos < pausedUntilNanos;
     }
 
-    /** Estimates the cost of one more request; the unit is the mean latency of a request alone on a slot. */
-    double cost(double typicalLatencyMs, long nowNanos) {
-        double slowness = hasLatency && typicalLatencyMs > 0 ? Math.max(1, latencyMs / typicalLatencyMs) : 1;
-        // Squared, since its work also holds up the other members of its group.
-        double holdUp = toldSlowness * toldSlowness;
-        return (inFlight + 1.0) / listed.slots() * slowness * holdUp / health(nowNanos);
+    /** Estimates the cost of one more request, in units of the latency of a single request on a slot. */
+    double cost(double baselineLatencyMs, long nowNanos) {
+        double relativeLatency = hasLatency && baselineLatencyMs > 0 ? Math.max(1, latencyMs / baselineLatencyMs) : 1;
+        // Squared because a slow member also delays the other members of its group.
+        double groupPenalty = reportedSlowness * reportedSlowness;
+        return (inFlight + 1.0) / entry.slots() * relativeLatency * groupPenalty / health(nowNanos);
     }
 
-    /** Takes what the upstream says of its speed. */
-    void told(double slowness) {
-        toldSlowness = Math.max(1, slowness);
+    /** Records the slowness that the upstream reports, relative to a healthy one. */
+    void recordReportedSlowness(double slowness) {
+        reportedSlowness = Math.max(1, slowness);
     }
 
     boolean isSlow() {
-        return toldSlowness >= SLOW;
+        return reportedSlowness >= SLOW_THRESHOLD;
     }
 
-    /** Returns the smoothed time of an answer in ms, or NaN if there was none. */
+    /** Returns the moving average of the response time in ms, or NaN if there is no sample. */
     double latencyMs() {
         return hasLatency ? latencyMs : Double.NaN;
     }
 
     double health(long nowNanos) {
-        double share = (double) (nowNanos - healthNanos) / HEALTH_RECOVERY_NANOS;
-        return Math.min(1, Math.max(LEAST_HEALTH, health + share * (1 - health)));
+        double recoveredFraction = (double) (nowNanos - healthUpdateNanos) / HEALTH_RECOVERY_NANOS;
+        return Math.min(1, Math.max(MIN_HEALTH, health + recoveredFraction * (1 - health)));
     }
 
     long lastProgressNanos() {
         return lastProgressNanos;
     }
 
-    void relisted(ListedUpstream entry) {
-        listed = entry;
+    void updateEntry(ListedUpstream newEntry) {
+        entry = newEntry;
     }
 
-    void sent() {
+    void attemptSent() {
         inFlight++;
     }
 
-    void progressed(long nowNanos) {
+    void recordProgress(long nowNanos) {
         lastProgressNanos = nowNanos;
-        unreachedInRow = 0;
+        consecutiveUnreachable = 0;
     }
 
-    void ended() {
+    void attemptEnded() {
         inFlight--;
     }
 
-    void succeeded(double millis, long nowNanos) {
-        progressed(nowNanos);
-        sample(1, nowNanos);
+    void recordSuccess(double millis, long nowNanos) {
+        recordProgress(nowNanos);
+        recordHealth(1, nowNanos);
         latencyMs = hasLatency ? latencyMs + SAMPLE_WEIGHT * (millis - latencyMs) : millis;
         hasLatency = true;
     }
 
-    void failed(long nowNanos) {
-        sample(LEAST_HEALTH, nowNanos);
+    void recordFailure(long nowNanos) {
+        recordHealth(MIN_HEALTH, nowNanos);
     }
 
-    void unreached(long nowNanos) {
-        sample(LEAST_HEALTH, nowNanos);
-        pause(FIRST_PAUSE_NANOS << Math.min(unreachedInRow, MAX_DOUBLINGS), nowNanos);
-        unreachedInRow++;
+    void recordUnreachable(long nowNanos) {
+        recordHealth(MIN_HEALTH, nowNanos);
+        pause(FIRST_PAUSE_NANOS << Math.min(consecutiveUnreachable, MAX_DOUBLINGS), nowNanos);
+        consecutiveUnreachable++;
     }
 
     void pause(long nanos, long nowNanos) {
-        paused = true;
+        hasPause = true;
         pausedUntilNanos = nowNanos + nanos;
     }
 
-    private void sample(double value, long nowNanos) {
-        double before = health(nowNanos);
-        health = before + SAMPLE_WEIGHT * (value - before);
-        healthNanos = nowNanos;
+    private void recordHealth(double value, long nowNanos) {
+        double current = health(nowNanos);
+        health = current + SAMPLE_WEIGHT * (value - current);
+        healthUpdateNanos = nowNanos;
     }
 }
--- a/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherFaultTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherFaultTest.java
@@ -21,93 +21,95 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * Plays random outcomes, lists and departures of callers against a dispatcher and checks the promises of every request.
+ * Runs a dispatcher against random outcomes, upstream lists and disconnects, and checks its invariants for every
+ * request.
  */
 final class GatewayDispatcherFaultTest {
     private static final long MS = 1_000_000;
     private static final int MAX_ATTEMPTS = 2;
-    private static final int LIMIT_MS = 4000;
+    private static final int TIMEOUT_MS = 4000;
 
     @Test
-    void everyRequestEndsOnceAndTruly() {
+    void everyRequestEndsOnceWithACorrectVerdict() {
         int refused = 0;
-        int repeated = 0;
-        int groupNotes = 0;
+        int retried = 0;
+        int groupStateChanges = 0;
         for (long seed = 1; seed <= 200; seed++) {
-            World w = new World(seed);
-            w.play(20_000);
-            assertEquals(0, w.dispatcher.openRequests(), "seed " + seed);
-            refused += w.refused;
-            repeated += w.repeated;
-            groupNotes += w.groupNotes;
-        }
-        assertTrue(groupNotes > 1000, groupNotes + " outages begun or ended");
-        assertTrue(refused > 1000 && repeated > 1000, refused + " refused, " + repeated + " repeated");
+            Simulation simulation = new Simulation(seed);
+            simulation.simulate(20_000);
+            assertEquals(0, simulation.dispatcher.openRequests(), "seed " + seed);
+            refused += simulation.refused;
+            retried += simulation.retried;
+            groupStateChanges += simulation.groupStateChanges;
+        }
+        assertTrue(groupStateChanges > 1000, groupStateChanges + " group state changes");
+        assertTrue(refused > 1000 && retried > 1000, refused + " refused, " + retried + " retried");
     }
 
-    /** A request as the world sees it. */
-    private static final class Asked {
+    /** The expected state of a request. */
+    private static final class TrackedRequest {
         private final Route.Repeat repeat;
-        private final long endMs;
+        private final long deadlineMs;
         private final Set<String> reached = new HashSet<>();
         private boolean mayHaveRun;
-        private int underWay;
+        private int inFlight;
         private boolean ended;
 
-        private Asked(Route.Repeat repeat, long endMs) {
+        private TrackedRequest(Route.Repeat repeat, long deadlineMs) {
             this.repeat = repeat;
-            this.endMs = endMs;
+            this.deadlineMs = deadlineMs;
         }
     }
 
-    /** An attempt under way. */
-    private record Sent(long attempt, long request, String upstream) {}
+    /** An attempt in flight. */
+    private record SentAttempt(long attempt, long request, String upstream) {}
 
-    /** Callers and upstreams. */
-    private static final class World {
+    /** A simulation of callers and upstreams in virtual time. */
+    private static final class Simulation {
         private final SplittableRandom random;
         private final GatewayDispatcher dispatcher;
-        private final Map<Long, Asked> asked = new HashMap<>();
-        private final Map<Long, Sent> sent = new HashMap<>();
+        private final Map<Long, TrackedRequest> requests = new HashMap<>();
+        private final Map<Long, SentAttempt> attempts = new HashMap<>();
         private Set<String> usable = new HashSet<>();
         private long nowMs;
         private long lastId;
         private int refused;
-        private int repeated;
-        private int groupNotes;
+        private int retried;
+        private int groupStateChanges;
 
-        private World(long seed) {
+        private Simulation(long seed) {
             random = new SplittableRandom(seed);
             dispatcher = new GatewayDispatcher(
                     "z1",
-                    () -> new RepeatAllowance(0.2, Duration.ofSeconds(10), new SlackShare(12 * 20)),
+                    () -> new GatewayRetryBudget(0.2, Duration.ofSeconds(10), new RetrySlackShare(12 * 20)),
                     random.split());
         }
 
-        private void play(long untilMs) {
-            list();
-            while (nowMs < untilMs + LIMIT_MS + 100) {
+        private void simulate(long untilMs) {
+            updateUpstreams();
+            while (nowMs < untilMs + TIMEOUT_MS + 100) {
                 nowMs += 10;
                 if (nowMs < untilMs) {
-                    happen();
+                    simulateRandomEvent();
                 }
                 if (nowMs % 50 == 0) {
                     on(new GatewayEvent.Tick());
-                    asked.values().forEach(a -> assertTrue(a.ended || a.endMs > nowMs, "open past its time"));
+                    requests.values()
+                            .forEach(a -> assertTrue(a.ended || a.deadlineMs > nowMs, "open past its deadline"));
                 }
             }
         }
 
-        private void happen() {
+        private void simulateRandomEvent() {
             switch (random.nextInt(12)) {
                 case 0, 1, 2 -> arrive();
-                case 3 -> leave();
+                case 3 -> disconnect();
                 case 4 -> {
                     if (random.nextInt(20) == 0) {
-                        list();
+                        updateUpstreams();
                     }
                 }
-                default -> progress();
+                default -> progressOrEnd();
             }
         }
 
@@ -120,32 +122,32 @@
                     List.of(new Route.Split("s", 1)),
                     repeat,
                     repeat == Route.Repeat.RESUMABLE,
-                    Duration.ofMillis(LIMIT_MS),
+                    Duration.ofMillis(TIMEOUT_MS),
                     Duration.ofMillis(300),
                     repeat == Route.Repeat.RESUMABLE ? Duration.ofMillis(20) : Duration.ZERO,
                     MAX_ATTEMPTS,
                     0,
                     false);
             long id = ++lastId;
-            long end = nowMs + 200 + random.nextInt(LIMIT_MS - 200);
-            asked.put(id, new Asked(repeat, end));
-            on(new GatewayEvent.Arrived(
-                    new GatewayRequest(id, route, "s", "t", 0, 0, 0, Duration.ZERO, nowMs * MS, end * MS)));
+            long deadline = nowMs + 200 + random.nextInt(TIMEOUT_MS - 200);
+            requests.put(id, new TrackedRequest(repeat, deadline));
+            on(new GatewayEvent.RequestArrived(
+                    new GatewayRequest(id, route, "s", "t", 0, 0, 0, Duration.ZERO, nowMs * MS, deadline * MS)));
         }
 
-        private void leave() {
+        private void disconnect() {
             if (lastId == 0) {
                 return;
             }
             long id = 1 + random.nextLong(lastId);
-            if (!asked.get(id).ended) {
-                asked.get(id).ended = true;
-                on(new GatewayEvent.CallerGone(id));
-                assertEquals(0, asked.get(id).underWay, "an attempt goes on for a caller that has left");
+            if (!requests.get(id).ended) {
+                requests.get(id).ended = true;
+                on(new GatewayEvent.CallerDisconnected(id));
+                assertEquals(0, requests.get(id).inFlight, "attempt in flight after its caller disconnected");
             }
         }
 
-        private void list() {
+        private void updateUpstreams() {
             List<ListedUpstream> list = new ArrayList<>();
             usable = new HashSet<>();
             for (int i = 0; i < 4; i++) {
@@ -157,22 +159,22 @@
                     }
                 }
             }
-            on(new GatewayEvent.Listed(list));
+            on(new GatewayEvent.UpstreamsUpdated(list));
         }
 
-        private void progress() {
-            if (sent.isEmpty()) {
+        private void progressOrEnd() {
+            if (attempts.isEmpty()) {
                 return;
             }
-            List<Long> numbers = new ArrayList<>(sent.keySet());
-            Sent s = sent.get(numbers.get(random.nextInt(numbers.size())));
+            List<Long> numbers = new ArrayList<>(attempts.keySet());
+            SentAttempt s = attempts.get(numbers.get(random.nextInt(numbers.size())));
             if (random.nextInt(3) == 0) {
-                on(new GatewayEvent.Progress(s.attempt(), random.nextBoolean()));
+                on(new GatewayEvent.ResponseProgress(s.attempt(), random.nextBoolean()));
                 return;
             }
-            sent.remove(s.attempt());
-            Asked a = asked.get(s.request());
-            a.underWay--;
+            attempts.remove(s.attempt());
+            TrackedRequest a = requests.get(s.request());
+            a.inFlight--;
             AttemptOutcome outcome = outcome();
             if (outcome instanceof AttemptOutcome.Broken || outcome instanceof AttemptOutcome.Failed) {
                 a.mayHaveRun = true;
@@ -180,11 +182,11 @@
             if (outcome instanceof AttemptOutcome.Unreached) {
                 a.reached.remove(s.upstream());
             }
-            on(new GatewayEvent.Ended(s.attempt(), outcome));
+            on(new GatewayEvent.AttemptEnded(s.attempt(), outcome));
         }
 
-        private void tell(String upstream) {
-            on(new GatewayEvent.SpeedTold(upstream, random.nextInt(3) == 0 ? 4 : 1));
+        private void reportSpeed(String upstream) {
+            on(new GatewayEvent.SpeedReported(upstream, random.nextInt(3) == 0 ? 4 : 1));
         }
 
         private AttemptOutcome outcome() {
@@ -195,59 +197,60 @@
                 case 3 ->
                     new AttemptOutcome.Rejected(
                             AttemptOutcome.Rejected.Cause.values()[random.nextInt(4)], Optional.empty());
-                default -> new AttemptOutcome.Whole(200);
+                default -> new AttemptOutcome.Completed(200);
             };
         }
 
         private void on(GatewayEvent event) {
-            for (GatewayAction action : dispatcher.on(event, nowMs * MS)) {
+            for (GatewayAction action : dispatcher.handle(event, nowMs * MS)) {
                 switch (action) {
-                    case GatewayAction.Send s -> begun(s);
-                    case GatewayAction.Cancel c -> cancelled(c.attempt());
-                    case GatewayAction.Deliver d -> end(d.request());
-                    case GatewayAction.BreakOff b -> end(b.request());
-                    case GatewayAction.Refuse r -> refuse(r);
-                    case GatewayAction.AskSpeeds a -> a.upstreams().forEach(u -> tell(u.id()));
-                    case GatewayAction.GroupNoted n -> groupNotes++;
+                    case GatewayAction.Send s -> checkSent(s);
+                    case GatewayAction.Cancel c -> recordCancel(c.attempt());
+                    case GatewayAction.Deliver d -> checkEnd(d.request());
+                    case GatewayAction.AbortResponse b -> checkEnd(b.request());
+                    case GatewayAction.Refuse r -> checkRefusal(r);
+                    case GatewayAction.QuerySpeeds a -> a.upstreams().forEach(u -> reportSpeed(u.id()));
+                    case GatewayAction.GroupStateChanged n -> groupStateChanges++;
                 }
             }
         }
 
-        private void begun(GatewayAction.Send s) {
-            Asked a = asked.get(s.request().id());
-            assertFalse(a.ended, "sent after its end");
-            assertEquals(0, a.underWay, "two attempts at once");
-            assertTrue(usable.contains(s.upstream().id()), "sent to one that takes no work");
-            assertFalse(a.repeat == Route.Repeat.ONCE && a.mayHaveRun, "repeated what must run once");
-            repeated += a.reached.isEmpty() ? 0 : 1;
+        private void checkSent(GatewayAction.Send s) {
+            TrackedRequest a = requests.get(s.request().id());
+            assertFalse(a.ended, "sent after its final outcome");
+            assertEquals(0, a.inFlight, "two attempts in flight");
+            assertTrue(usable.contains(s.upstream().id()), "sent to an upstream that accepts no requests");
+            assertFalse(
+                    a.repeat == Route.Repeat.ONCE && a.mayHaveRun, "retried an at-most-once request that may have run");
+            retried += a.reached.isEmpty() ? 0 : 1;
             a.reached.add(s.upstream().id());
             assertTrue(a.reached.size() <= MAX_ATTEMPTS, "reached " + a.reached);
-            a.underWay++;
-            sent.put(
+            a.inFlight++;
+            attempts.put(
                     s.attempt(),
-                    new Sent(s.attempt(), s.request().id(), s.upstream().id()));
+                    new SentAttempt(s.attempt(), s.request().id(), s.upstream().id()));
         }
 
-        private void cancelled(long attempt) {
-            Sent s = sent.remove(attempt);
-            asked.get(s.request()).underWay--;
-            asked.get(s.request()).mayHaveRun = true;
+        private void recordCancel(long attempt) {
+            SentAttempt s = attempts.remove(attempt);
+            requests.get(s.request()).inFlight--;
+            requests.get(s.request()).mayHaveRun = true;
         }
 
-        private void refuse(GatewayAction.Refuse r) {
-            Asked a = asked.get(r.request());
+        private void checkRefusal(GatewayAction.Refuse r) {
+            TrackedRequest a = requests.get(r.request());
             if (r.verdict() instanceof Verdict.NotRun n) {
-                assertFalse(a.mayHaveRun, "refused as not run after it may have run");
-                assertTrue(n.retryAfter().toMillis() <= Math.max(0, a.endMs - nowMs) / 2, "" + n.retryAfter());
+                assertFalse(a.mayHaveRun, "NotRun verdict for a request that may have run");
+                assertTrue(n.retryAfter().toMillis() <= Math.max(0, a.deadlineMs - nowMs) / 2, "" + n.retryAfter());
             }
             refused++;
-            end(r.request());
+            checkEnd(r.request());
         }
 
-        private void end(long id) {
-            Asked a = asked.get(id);
-            assertFalse(a.ended, "ended twice");
-            assertEquals(0, a.underWay, "ended with an attempt under way");
+        private void checkEnd(long id) {
+            TrackedRequest a = requests.get(id);
+            assertFalse(a.ended, "second final outcome");
+            assertEquals(0, a.inFlight, "ended with an attempt in flight");
             a.ended = true;
         }
     }
--- a/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherTest.java
@@ -18,31 +18,32 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Plays the faults of upstreams against the promises made to callers. */
+/** Checks the handling of upstream faults, group outages and slow upstreams. */
 final class GatewayDispatcherTest {
     private static final long MS = 1_000_000;
     private static final AttemptOutcome FULL =
             new AttemptOutcome.Rejected(AttemptOutcome.Rejected.Cause.FULL, Optional.empty());
     private static final AttemptOutcome GROUP_BROKEN =
             new AttemptOutcome.Rejected(AttemptOutcome.Rejected.Cause.GROUP_BROKEN, Optional.empty());
-    private static final GatewayAction DOWN = new GatewayAction.GroupNoted("s", true, 0);
+    private static final GatewayAction DOWN = new GatewayAction.GroupStateChanged("s", true, 0);
     private static final AttemptOutcome BROKEN = new AttemptOutcome.Broken(Reason.CONNECTION_LOST);
 
     private final GatewayDispatcher dispatcher = new GatewayDispatcher(
             "z1",
-            () -> new RepeatAllowance(0.2, Duration.ofSeconds(10), new SlackShare(12 * 3)),
+            () -> new GatewayRetryBudget(0.2, Duration.ofSeconds(10), new RetrySlackShare(12 * 3)),
             new SplittableRandom(1));
-    // Upstreams count as lively for a moment after they were listed.
+    // Upstreams count as active for a short time after they were listed.
     private long nowMs = 1000;
 
     @BeforeEach
     void list() {
-        on(new GatewayEvent.Listed(List.of(upstream("a", false), upstream("b", false), upstream("c", false))));
+        on(new GatewayEvent.UpstreamsUpdated(
+                List.of(upstream("a", false), upstream("b", false), upstream("c", false))));
         nowMs += 500;
     }
 
     @Test
-    void aRequestThatRunsOnceIsNotSentAgainAfterItMayHaveRun() {
+    void anAtMostOnceRequestIsNotRetriedAfterItMayHaveRun() {
         GatewayAction.Send first = send(arrive(1, Route.Repeat.ONCE));
         GatewayAction end = only(end(first, BROKEN));
         Verdict v = assertInstanceOf(GatewayAction.Refuse.class, end).verdict();
@@ -50,7 +51,7 @@
     }
 
     @Test
-    void aRequestThatRunsOnceIsSentElsewhereAfterItCertainlyDidNotRun() {
+    void anAtMostOnceRequestIsRetriedElsewhereAfterARejection() {
         GatewayAction.Send first = send(arrive(1, Route.Repeat.ONCE));
         GatewayAction.Send second = send(end(first, FULL));
         assertNotEquals(first.upstream().id(), second.upstream().id());
@@ -61,7 +62,7 @@
     }
 
     @Test
-    void aRefusalNeverFollowsAnAttemptThatMayHaveRun() {
+    void aNotRunVerdictNeverFollowsAnAttemptThatMayHaveRun() {
         GatewayAction.Send first = send(arrive(1, Route.Repeat.IDEMPOTENT));
         GatewayAction.Send second = send(end(first, BROKEN));
         GatewayAction end = only(end(second, FULL));
@@ -78,29 +79,29 @@
     }
 
     @Test
-    void anUpstreamThatCouldNotBeReachedCountsAsNoAttempt() {
+    void anUnreachableUpstreamDoesNotCountAsAnAttempt() {
         GatewayAction.Send first = send(arrive(1, Route.Repeat.ONCE));
         GatewayAction.Send second = send(end(first, new AttemptOutcome.Unreached()));
         GatewayAction.Send third = send(end(second, new AttemptOutcome.Unreached()));
-        assertInstanceOf(GatewayAction.Deliver.class, only(end(third, new AttemptOutcome.Whole(200))));
+        assertInstanceOf(GatewayAction.Deliver.class, only(end(third, new AttemptOutcome.Completed(200))));
     }
 
     @Test
-    void aFailureOfTheUpstreamIsPassedOnIfItCannotBeRepeated() {
+    void anUpstreamFailureIsDeliveredIfTheRequestCannotBeRetried() {
         GatewayAction.Send first = send(arrive(1, Route.Repeat.ONCE));
         assertInstanceOf(GatewayAction.Deliver.class, only(end(first, new AttemptOutcome.Failed(500))));
     }
 
     @Test
-    void aStreamThatBreaksIsResumedAndOneThatCannotBeEndsBroken() {
+    void aBrokenStreamIsResumedOrElseAborted() {
         GatewayAction.Send first = send(arrive(1, Route.Repeat.RESUMABLE));
-        on(new GatewayEvent.Progress(first.attempt(), true));
+        on(new GatewayEvent.ResponseProgress(first.attempt(), true));
         GatewayAction.Send second = send(end(first, BROKEN));
-        assertInstanceOf(GatewayAction.BreakOff.class, only(end(second, BROKEN)));
+        assertInstanceOf(GatewayAction.AbortResponse.class, only(end(second, BROKEN)));
     }
 
     @Test
-    void theDeadlineEndsARequestAtOnceAndBreaksItsAttemptOff() {
+    void theDeadlineEndsARequestAndCancelsItsAttempt() {
         GatewayAction.Send first = send(arrive(1, Route.Repeat.ONCE));
         nowMs += 4000;
         List<GatewayAction> out = on(new GatewayEvent.Tick());
@@ -111,25 +112,25 @@
     }
 
     @Test
-    void aDrainingUpstreamGetsNoNewWork() {
-        on(new GatewayEvent.Listed(List.of(upstream("a", true), upstream("b", false), upstream("c", true))));
+    void aDrainingUpstreamReceivesNoNewRequests() {
+        on(new GatewayEvent.UpstreamsUpdated(List.of(upstream("a", true), upstream("b", false), upstream("c", true))));
         for (int i = 1; i <= 20; i++) {
             assertEquals("b", send(arrive(i, Route.Repeat.ONCE)).upstream().id());
         }
     }
 
     @Test
-    void withoutAnUpstreamARequestIsRefusedAtOnceWithATimeToComeBack() {
-        on(new GatewayEvent.Listed(List.of()));
+    void withoutUpstreamsARequestIsRefusedImmediatelyWithARetryDelay() {
+        on(new GatewayEvent.UpstreamsUpdated(List.of()));
         GatewayAction.Refuse r = assertInstanceOf(GatewayAction.Refuse.class, only(arrive(1, Route.Repeat.ONCE)));
         Verdict.NotRun v = assertInstanceOf(Verdict.NotRun.class, r.verdict());
         assertTrue(v.retryAfter().toMillis() > 0 && v.retryAfter().toMillis() <= 4000 / 3, "" + v.retryAfter());
     }
 
     @Test
-    void aBrokenGroupIsNotTriedMemberByMember() {
+    void aRejectionByABrokenGroupIsNotRetriedOnOtherMembers() {
         GatewayAction.Send first = send(arrive(1, Route.Repeat.RESUMABLE));
-        assertEquals(List.of(DOWN), end(first, GROUP_BROKEN), "it waits for the group");
+        assertEquals(List.of(DOWN), end(first, GROUP_BROKEN), "the request waits for the group");
         nowMs += 1400;
         GatewayAction.Refuse r = assertInstanceOf(GatewayAction.Refuse.class, only(on(new GatewayEvent.Tick())));
         assertInstanceOf(Verdict.NotRun.class, r.verdict());
@@ -137,7 +138,7 @@
     }
 
     @Test
-    void aBrokenGroupIsAskedByFewRequestsAndTheOthersWait() {
+    void aBrokenGroupIsProbedByFewRequestsWhileOthersWait() {
         end(send(arrive(1, Route.Repeat.RESUMABLE)), GROUP_BROKEN);
         int sent = 0;
         for (int id = 2; id <= 101; id++) {
@@ -151,7 +152,7 @@
     }
 
     @Test
-    void waitingRequestsAreSentMostUrgentFirstAsSoonAsTheGroupAnswers() {
+    void waitingRequestsAreSentMostUrgentFirstWhenTheGroupRecovers() {
         end(send(arrive(1, Route.Repeat.RESUMABLE, 2)), GROUP_BROKEN);
         nowMs += 10;
         GatewayAction.Send probe = send(arrive(2, Route.Repeat.RESUMABLE, 2));
@@ -159,8 +160,8 @@
         nowMs += 20;
         assertEquals(List.of(), arrive(4, Route.Repeat.RESUMABLE, 2));
         assertEquals(List.of(), arrive(5, Route.Repeat.RESUMABLE, 0));
-        List<GatewayAction> out = on(new GatewayEvent.Progress(probe.attempt(), true));
-        assertEquals(new GatewayAction.GroupNoted("s", false, 4), out.getFirst());
+        List<GatewayAction> out = on(new GatewayEvent.ResponseProgress(probe.attempt(), true));
+        assertEquals(new GatewayAction.GroupStateChanged("s", false, 4), out.getFirst());
         List<Long> order = out.stream()
                 .skip(1)
                 .map(a ->
@@ -170,10 +171,10 @@
     }
 
     @Test
-    void aMemberOfABrokenGroupIsLeftAloneWhileOthersOfItsServiceAnswer() {
-        GatewayAction.Send lively = send(arrive(1, Route.Repeat.RESUMABLE));
+    void aMemberOfABrokenGroupIsAvoidedWhileOthersOfItsServiceRespond() {
+        GatewayAction.Send active = send(arrive(1, Route.Repeat.RESUMABLE));
         GatewayAction.Send rejected = send(arrive(2, Route.Repeat.RESUMABLE));
-        on(new GatewayEvent.Progress(lively.attempt(), true));
+        on(new GatewayEvent.ResponseProgress(active.attempt(), true));
         GatewayAction.Send elsewhere = send(end(rejected, GROUP_BROKEN));
         assertNotEquals(rejected.upstream().id(), elsewhere.upstream().id());
         for (int id = 3; id <= 8; id++) {
@@ -184,7 +185,7 @@
     }
 
     @Test
-    void anOutageThatLastsLongMakesNobodyWait() {
+    void requestsAreRefusedInsteadOfQueuedInALongOutage() {
         assertEquals(List.of(DOWN), end(send(arrive(1, Route.Repeat.RESUMABLE)), GROUP_BROKEN));
         nowMs += 1500;
         on(new GatewayEvent.Tick());
@@ -196,7 +197,7 @@
     }
 
     @Test
-    void withoutAnOutageLateRequestsAreSentAtOnceButBehindThoseThatCanBeOnTime() {
+    void withoutAnOutageLateRequestsAreSentImmediatelyWithALowerRank() {
         for (int id = 1; id <= 5; id++) {
             assertEquals(3, send(arriveLate(id)).admissionRank());
         }
@@ -204,19 +205,19 @@
     }
 
     @Test
-    void afterAnOutageLateRequestsAreSentOneAfterAnother() {
+    void afterAnOutagePendingLateRequestsAreLimited() {
         end(send(arrive(10, Route.Repeat.RESUMABLE)), GROUP_BROKEN);
         nowMs += 10;
         GatewayAction.Send probe = send(arrive(11, Route.Repeat.RESUMABLE));
-        on(new GatewayEvent.Progress(probe.attempt(), true));
+        on(new GatewayEvent.ResponseProgress(probe.attempt(), true));
         GatewayAction.Send first = send(arriveLate(1));
         GatewayAction.Send second = send(arriveLate(2));
-        assertEquals(List.of(), arriveLate(3), "two late ones have not begun");
+        assertEquals(List.of(), arriveLate(3), "two late requests have not started");
         send(arrive(4, Route.Repeat.RESUMABLE));
-        GatewayAction.Send third = send(on(new GatewayEvent.Progress(first.attempt(), true)));
+        GatewayAction.Send third = send(on(new GatewayEvent.ResponseProgress(first.attempt(), true)));
         assertEquals(3, third.request().id());
         assertEquals(List.of(), arriveLate(5));
-        List<GatewayAction> out = end(second, new AttemptOutcome.Whole(200));
+        List<GatewayAction> out = end(second, new AttemptOutcome.Completed(200));
         assertInstanceOf(GatewayAction.Deliver.class, out.getFirst());
         assertEquals(
                 5,
@@ -226,22 +227,22 @@
     }
 
     @Test
-    void whenPassesTakeTooLongUpstreamsAreAskedAndASlowOneIsLeft() {
+    void longGapsTriggerSpeedQueriesAndASlowUpstreamIsAvoided() {
         GatewayAction.Send first = send(arrive(1, Route.Repeat.RESUMABLE));
         GatewayAction.Send second = send(arrive(2, Route.Repeat.RESUMABLE));
-        List<GatewayAction> asked = new ArrayList<>();
+        List<GatewayAction> actions = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             nowMs += 300;
-            asked.addAll(on(new GatewayEvent.Progress(first.attempt(), true)));
-            asked.addAll(on(new GatewayEvent.Progress(second.attempt(), true)));
-            if (!asked.isEmpty()) {
+            actions.addAll(on(new GatewayEvent.ResponseProgress(first.attempt(), true)));
+            actions.addAll(on(new GatewayEvent.ResponseProgress(second.attempt(), true)));
+            if (!actions.isEmpty()) {
                 break;
             }
         }
-        GatewayAction.AskSpeeds ask = assertInstanceOf(GatewayAction.AskSpeeds.class, only(asked));
-        assertEquals(3, ask.upstreams().size());
+        GatewayAction.QuerySpeeds query = assertInstanceOf(GatewayAction.QuerySpeeds.class, only(actions));
+        assertEquals(3, query.upstreams().size());
         String slow = first.upstream().id();
-        List<GatewayAction> out = on(new GatewayEvent.SpeedTold(slow, 4));
+        List<GatewayAction> out = on(new GatewayEvent.SpeedReported(slow, 4));
         assertEquals(new GatewayAction.Cancel(first.attempt()), out.getFirst());
         assertNotEquals(
                 slow,
@@ -252,61 +253,61 @@
             assertNotEquals(
                     slow, send(arrive(id, Route.Repeat.RESUMABLE)).upstream().id());
         }
-        on(new GatewayEvent.SpeedTold(slow, 1));
+        on(new GatewayEvent.SpeedReported(slow, 1));
         assertEquals(slow, send(arrive(9, Route.Repeat.RESUMABLE)).upstream().id());
     }
 
     @Test
-    void passesThatAreFastEnoughLeadToNoQuestions() {
+    void shortGapsTriggerNoSpeedQueries() {
         GatewayAction.Send first = send(arrive(1, Route.Repeat.RESUMABLE));
         for (int i = 0; i < 50; i++) {
             nowMs += 60;
-            assertEquals(List.of(), on(new GatewayEvent.Progress(first.attempt(), true)));
+            assertEquals(List.of(), on(new GatewayEvent.ResponseProgress(first.attempt(), true)));
         }
     }
 
     @Test
-    void anAnswerThatBeganBeforeTheGroupBrokeEndsNoOutage() {
+    void aResponseToAnAttemptSentBeforeTheOutageDoesNotEndIt() {
         GatewayAction.Send old = send(arrive(1, Route.Repeat.RESUMABLE));
         end(send(arrive(2, Route.Repeat.RESUMABLE)), GROUP_BROKEN);
-        assertEquals(List.of(), on(new GatewayEvent.Progress(old.attempt(), true)));
+        assertEquals(List.of(), on(new GatewayEvent.ResponseProgress(old.attempt(), true)));
     }
 
     @Test
-    void aWaitingRequestWhoseCallerLeavesIsForgotten() {
+    void aWaitingRequestIsRemovedWhenItsCallerDisconnects() {
         end(send(arrive(1, Route.Repeat.RESUMABLE)), GROUP_BROKEN);
-        assertEquals(List.of(), on(new GatewayEvent.CallerGone(1)));
+        assertEquals(List.of(), on(new GatewayEvent.CallerDisconnected(1)));
         nowMs += 5000;
         assertEquals(List.of(), on(new GatewayEvent.Tick()));
         assertEquals(0, dispatcher.openRequests());
     }
 
     @Test
-    void aStreamThatHasBegunIsBrokenOffAtOnceWhenItsGroupBreaks() {
+    void aStartedStreamIsAbortedImmediatelyWhenItsGroupBreaks() {
         GatewayAction.Send first = send(arrive(1, Route.Repeat.RESUMABLE));
-        on(new GatewayEvent.Progress(first.attempt(), true));
+        on(new GatewayEvent.ResponseProgress(first.attempt(), true));
         nowMs += 500;
         GatewayAction.Send second = send(end(first, BROKEN));
         List<GatewayAction> out = end(second, GROUP_BROKEN);
         assertEquals(DOWN, out.getFirst());
-        assertInstanceOf(GatewayAction.BreakOff.class, out.getLast());
+        assertInstanceOf(GatewayAction.AbortResponse.class, out.getLast());
     }
 
     @Test
-    void aSilentStreamMovesOnOnlyWhileOthersGoOn() {
-        GatewayAction.Send silent = send(arrive(1, Route.Repeat.RESUMABLE));
-        GatewayAction.Send lively = send(arrive(2, Route.Repeat.RESUMABLE));
-        assertNotEquals(silent.upstream().id(), lively.upstream().id());
+    void aStalledStreamIsResumedElsewhereOnlyWhileOthersProgress() {
+        GatewayAction.Send stalled = send(arrive(1, Route.Repeat.RESUMABLE));
+        GatewayAction.Send active = send(arrive(2, Route.Repeat.RESUMABLE));
+        assertNotEquals(stalled.upstream().id(), active.upstream().id());
         nowMs += 1000;
-        assertEquals(List.of(), on(new GatewayEvent.Tick()), "all are silent: the group pauses");
-        on(new GatewayEvent.Progress(lively.attempt(), true));
+        assertEquals(List.of(), on(new GatewayEvent.Tick()), "all streams are stalled: the whole group pauses");
+        on(new GatewayEvent.ResponseProgress(active.attempt(), true));
         List<GatewayAction> out = on(new GatewayEvent.Tick());
-        assertEquals(new GatewayAction.Cancel(silent.attempt()), out.getFirst());
+        assertEquals(new GatewayAction.Cancel(stalled.attempt()), out.getFirst());
         assertInstanceOf(GatewayAction.Send.class, out.getLast());
     }
 
     @Test
-    void requestsSpreadEvenlyOverUpstreamsAlike() {
+    void requestsSpreadEvenlyOverEqualUpstreams() {
         List<String> chosen = new ArrayList<>();
         for (int i = 1; i <= 30; i++) {
             chosen.add(send(arrive(i, Route.Repeat.ONCE)).upstream().id());
@@ -317,10 +318,10 @@
     }
 
     @Test
-    void anUpstreamThatFailsGetsLessAndRecovers() {
+    void aFailingUpstreamReceivesFewerRequests() {
         for (int i = 1; i <= 30; i++) {
             GatewayAction.Send s = send(arrive(i, Route.Repeat.ONCE));
-            end(s, s.upstream().id().equals("a") ? BROKEN : new AttemptOutcome.Whole(200));
+            end(s, s.upstream().id().equals("a") ? BROKEN : new AttemptOutcome.Completed(200));
         }
         int toFailing = 0;
         for (int i = 31; i <= 60; i++) {
@@ -356,16 +357,16 @@
                 2,
                 0,
                 false);
-        return on(new GatewayEvent.Arrived(
+        return on(new GatewayEvent.RequestArrived(
                 new GatewayRequest(id, route, "s", "t", rank, 0, 0, waited, nowMs * MS, (nowMs + 4000) * MS)));
     }
 
     private List<GatewayAction> end(GatewayAction.Send s, AttemptOutcome outcome) {
-        return on(new GatewayEvent.Ended(s.attempt(), outcome));
+        return on(new GatewayEvent.AttemptEnded(s.attempt(), outcome));
     }
 
     private List<GatewayAction> on(GatewayEvent e) {
-        return dispatcher.on(e, nowMs * MS);
+        return dispatcher.handle(e, nowMs * MS);
     }
 
     private static GatewayAction.Send send(List<GatewayAction> out) {
--- a/core/src/test/java/org/citrontide/core/gateway/GroupOutageLoadTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/GroupOutageLoadTest.java
@@ -21,8 +21,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * Plays a group that is down for seconds while 52 requests a second come through eight gateways. Callers wait 2 s for a
- * first event, honour the time to come back, and come back once.
+ * Simulates an outage of a group of several seconds while 52 requests per second arrive at eight gateways. Callers wait
+ * 2 s for a first event, honour the retry delay and retry once. Guards against outages in which callers fail although
+ * the group recovers before their deadlines, and against a backlog of late requests that delays new ones afterwards.
  */
 final class GroupOutageLoadTest {
     private static final long MS = 1_000_000;
@@ -33,107 +34,118 @@
     private static final int DOWN_UNTIL_MS = 9_000;
     private static final int LAST_ARRIVAL_MS = 12_000;
     private static final int DEADLINE_MS = 8_000;
-    private static final int PATIENCE_MS = 2_000;
+    private static final int CALLER_TIMEOUT_MS = 2_000;
     private static final int FIRST_EVENT_MS = 180;
     private static final int EVENT_MS = 50;
     private static final int ANSWER_MS = 1_200;
     private static final double REQUESTS_PER_MS = 0.052;
-    // Two waits at a gateway, 1.7 and 1.5 s, and one of 1.9 s between them, less a second to be found and begun.
-    private static final int REACH_MS = 4_000;
+    // Two waits at a gateway of 1.7 and 1.5 s, and a retry delay of 1.9 s between them, less one second until the
+    // recovery is detected and the response has started.
+    private static final int REACHABLE_MS = 4_000;
 
-    // A probe and its first event tell a gateway that the group works again.
-    private static final int FOUND_MS = 600;
+    // A gateway detects the recovery of the group by a probe and its first event.
+    private static final int RECOVERY_DETECTION_MS = 600;
     private static final int TARGET_MS = 400;
 
     @Test
     void mostCallersOfAnOutageAreServedAndMostAfterItOnTime() {
         for (int seed = 1; seed <= 5; seed++) {
-            World w = new World(seed);
-            w.play();
-            // Refusing at once serves those that come back after the end: within a third of their time, 2.7 s of 4 and
-            // 6.
-            double near = w.servedShare(DOWN_UNTIL_MS - REACH_MS, DOWN_UNTIL_MS);
-            assertTrue(near >= 0.75, "seed " + seed + ": served of those within reach of the end: " + near);
-            double all = w.servedShare(DOWN_FROM_MS, DOWN_UNTIL_MS);
-            assertTrue(all >= 0.5, "seed " + seed + ": served of those that came in the outage: " + all);
-            double onTime = w.onTimeShare(DOWN_UNTIL_MS + FOUND_MS, LAST_ARRIVAL_MS);
-            assertTrue(onTime >= 0.7, "seed " + seed + ": on time of those that came after the outage: " + onTime);
-            assertTrue(w.repeats <= 0.2 * w.callers.size() + 92, w.repeats + " repeats in the outage");
-            assertTrue(w.rejections < 8 * 6000 / 100, w.rejections + " requests sent to a broken group");
+            Simulation simulation = new Simulation(seed);
+            simulation.simulate();
+            // Refusing immediately would serve the callers whose retry follows the end of the outage: those that
+            // arrived within a third of their deadline before it, 2.7 s out of 4 s and out of 6 s.
+            double reachable = simulation.servedShare(DOWN_UNTIL_MS - REACHABLE_MS, DOWN_UNTIL_MS);
+            assertTrue(
+                    reachable >= 0.75,
+                    "seed " + seed + ": share served of the requests within reach of the end of the outage: "
+                            + reachable);
+            double all = simulation.servedShare(DOWN_FROM_MS, DOWN_UNTIL_MS);
+            assertTrue(
+                    all >= 0.5, "seed " + seed + ": share served of the requests that arrived in the outage: " + all);
+            double onTime = simulation.onTimeShare(DOWN_UNTIL_MS + RECOVERY_DETECTION_MS, LAST_ARRIVAL_MS);
+            assertTrue(
+                    onTime >= 0.7,
+                    "seed " + seed + ": share on time of the requests that arrived after the outage: " + onTime);
+            assertTrue(
+                    simulation.retries <= 0.2 * simulation.callers.size() + 92,
+                    simulation.retries + " retries in the outage");
+            assertTrue(
+                    simulation.rejections < 8 * 6000 / 100, simulation.rejections + " requests sent to a broken group");
         }
     }
 
-    /** A caller and its one request. */
+    /** A caller with one request and its retries. */
     private static final class Caller {
-        private final long bornMs;
+        private final long arrivedMs;
         private final int rank;
         private int refusals;
         private int attempt;
-        private boolean begun;
-        private long begunMs = -1;
-        private long servedMs = -1;
+        private boolean hasStarted;
+        private long startedMs = -1;
+        private long completedMs = -1;
         private long openId = -1;
 
-        private Caller(long bornMs, int rank) {
-            this.bornMs = bornMs;
+        private Caller(long arrivedMs, int rank) {
+            this.arrivedMs = arrivedMs;
             this.rank = rank;
         }
     }
 
-    /** Something that happens at a time. */
-    private record Due(long atMs, long order, Runnable what) {}
+    /** A task scheduled for a point in virtual time. */
+    private record ScheduledTask(long atMs, long order, Runnable task) {}
 
-    /** A request that waits for a slot of a rank. */
-    private record Job(int rank, long order, int gateway, GatewayAction.Send send) {}
+    /** An attempt that waits for a slot of a group member. */
+    private record QueuedAttempt(int rank, long order, int gateway, GatewayAction.Send send) {}
 
-    /** Gateways, a group and callers. */
-    private static final class World {
+    /** A simulation of gateways, a group and callers in virtual time. */
+    private static final class Simulation {
         private final SplittableRandom random;
         private final List<GatewayDispatcher> gateways = new ArrayList<>();
         private final List<Map<Long, Caller>> open = new ArrayList<>();
-        private final List<Set<Long>> live = new ArrayList<>();
+        private final List<Set<Long>> liveAttempts = new ArrayList<>();
         private final List<Caller> callers = new ArrayList<>();
-        private final PriorityQueue<Due> due =
-                new PriorityQueue<>(Comparator.comparingLong(Due::atMs).thenComparingLong(Due::order));
-        private final Map<String, PriorityQueue<Job>> queues = new HashMap<>();
+        private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
+                Comparator.comparingLong(ScheduledTask::atMs).thenComparingLong(ScheduledTask::order));
+        private final Map<String, PriorityQueue<QueuedAttempt>> queues = new HashMap<>();
         private final Map<String, Integer> running = new HashMap<>();
         private final Map<Long, Integer> sends = new HashMap<>();
         private long nowMs;
         private long order;
         private long nextId = 1;
-        private int repeats;
+        private int retries;
         private int rejections;
 
-        private World(long seed) {
+        private Simulation(long seed) {
             random = new SplittableRandom(seed);
             List<ListedUpstream> list = new ArrayList<>();
             for (int r = 0; r < RANKS; r++) {
                 list.add(new ListedUpstream("r" + r, "s", "10.0.0.1", 80, "z", SLOTS, false, 0));
                 queues.put(
                         "r" + r,
-                        new PriorityQueue<>(Comparator.comparingInt(Job::rank).thenComparingLong(Job::order)));
+                        new PriorityQueue<>(
+                                Comparator.comparingInt(QueuedAttempt::rank).thenComparingLong(QueuedAttempt::order)));
             }
             for (int g = 0; g < GATEWAYS; g++) {
                 GatewayDispatcher d = new GatewayDispatcher(
                         "z",
-                        () -> new RepeatAllowance(0.2, Duration.ofSeconds(10), new SlackShare(92.0)),
+                        () -> new GatewayRetryBudget(0.2, Duration.ofSeconds(10), new RetrySlackShare(92.0)),
                         random.split());
-                d.on(new GatewayEvent.Listed(list), 0);
+                d.handle(new GatewayEvent.UpstreamsUpdated(list), 0);
                 gateways.add(d);
                 open.add(new HashMap<>());
-                live.add(new HashSet<>());
+                liveAttempts.add(new HashSet<>());
             }
         }
 
-        private void play() {
+        private void simulate() {
             for (nowMs = 1; nowMs < LAST_ARRIVAL_MS + DEADLINE_MS + 1000; nowMs++) {
                 if (nowMs < LAST_ARRIVAL_MS && random.nextDouble() < REQUESTS_PER_MS) {
                     Caller c = new Caller(nowMs, random.nextInt(3));
                     callers.add(c);
-                    ask(c);
+                    sendRequest(c);
                 }
-                while (!due.isEmpty() && due.peek().atMs() <= nowMs) {
-                    due.poll().what().run();
+                while (!tasks.isEmpty() && tasks.peek().atMs() <= nowMs) {
+                    tasks.poll().task().run();
                 }
                 if (nowMs % 50 == 0) {
                     for (int g = 0; g < GATEWAYS; g++) {
@@ -144,27 +156,27 @@
         }
 
         private double servedShare(long fromMs, long untilMs) {
-            List<Caller> some = callers.stream()
-                    .filter(c -> c.bornMs >= fromMs && c.bornMs < untilMs)
+            List<Caller> selected = callers.stream()
+                    .filter(c -> c.arrivedMs >= fromMs && c.arrivedMs < untilMs)
                     .toList();
-            return (double) some.stream().filter(c -> c.servedMs >= 0).count() / some.size();
+            return (double) selected.stream().filter(c -> c.completedMs >= 0).count() / selected.size();
         }
 
         private double onTimeShare(long fromMs, long untilMs) {
-            List<Caller> some = callers.stream()
-                    .filter(c -> c.bornMs >= fromMs && c.bornMs < untilMs)
+            List<Caller> selected = callers.stream()
+                    .filter(c -> c.arrivedMs >= fromMs && c.arrivedMs < untilMs)
                     .toList();
-            long onTime = some.stream()
-                    .filter(c -> c.begunMs >= 0 && c.begunMs - c.bornMs <= TARGET_MS)
+            long onTime = selected.stream()
+                    .filter(c -> c.startedMs >= 0 && c.startedMs - c.arrivedMs <= TARGET_MS)
                     .count();
-            return (double) onTime / some.size();
+            return (double) onTime / selected.size();
         }
 
         private boolean isDown() {
             return nowMs >= DOWN_FROM_MS && nowMs < DOWN_UNTIL_MS;
         }
 
-        private void ask(Caller c) {
+        private void sendRequest(Caller c) {
             int g = random.nextInt(GATEWAYS);
             long id = nextId++;
             int attempt = ++c.attempt;
@@ -183,10 +195,10 @@
                     3,
                     c.rank,
                     false);
-            long end = (c.bornMs + DEADLINE_MS) * MS;
+            long end = (c.arrivedMs + DEADLINE_MS) * MS;
             on(
                     g,
-                    new GatewayEvent.Arrived(new GatewayRequest(
+                    new GatewayEvent.RequestArrived(new GatewayRequest(
                             id,
                             route,
                             "s",
@@ -194,60 +206,60 @@
                             c.rank,
                             700,
                             140,
-                            Duration.ofMillis(nowMs - c.bornMs),
+                            Duration.ofMillis(nowMs - c.arrivedMs),
                             nowMs * MS,
                             end)));
-            later(PATIENCE_MS, () -> {
-                if (c.attempt == attempt && !c.begun && open.get(g).remove(id) != null) {
-                    on(g, new GatewayEvent.CallerGone(id));
+            schedule(CALLER_TIMEOUT_MS, () -> {
+                if (c.attempt == attempt && !c.hasStarted && open.get(g).remove(id) != null) {
+                    on(g, new GatewayEvent.CallerDisconnected(id));
                 }
             });
         }
 
         private void on(int g, GatewayEvent event) {
-            for (GatewayAction action : gateways.get(g).on(event, nowMs * MS)) {
+            for (GatewayAction action : gateways.get(g).handle(event, nowMs * MS)) {
                 switch (action) {
                     case GatewayAction.Send s -> send(g, s);
                     case GatewayAction.Refuse r -> refused(g, r);
-                    case GatewayAction.Deliver d -> open.get(g).remove(d.request()).servedMs = nowMs;
-                    case GatewayAction.BreakOff b -> open.get(g).remove(b.request());
-                    case GatewayAction.AskSpeeds a -> {
-                        // All are alike.
+                    case GatewayAction.Deliver d -> open.get(g).remove(d.request()).completedMs = nowMs;
+                    case GatewayAction.AbortResponse b -> open.get(g).remove(b.request());
+                    case GatewayAction.QuerySpeeds a -> {
+                        // All upstreams have the same speed.
                     }
-                    case GatewayAction.GroupNoted n -> {
-                        // Only for the log.
+                    case GatewayAction.GroupStateChanged n -> {
+                        // Affects only the log.
                     }
-                    case GatewayAction.Cancel c -> live.get(g).remove(c.attempt());
+                    case GatewayAction.Cancel c -> liveAttempts.get(g).remove(c.attempt());
                 }
             }
         }
 
         private void send(int g, GatewayAction.Send s) {
             if (sends.merge(s.request().id(), 1, Integer::sum) > 1) {
-                repeats++;
+                retries++;
             }
             if (isDown()) {
                 rejections++;
-                later(
+                schedule(
                         2,
                         () -> on(
                                 g,
-                                new GatewayEvent.Ended(
+                                new GatewayEvent.AttemptEnded(
                                         s.attempt(),
                                         new AttemptOutcome.Rejected(
                                                 AttemptOutcome.Rejected.Cause.GROUP_BROKEN, Optional.empty()))));
                 return;
             }
-            live.get(g).add(s.attempt());
-            queues.get(s.upstream().id()).add(new Job(s.admissionRank(), order++, g, s));
-            start(s.upstream().id());
+            liveAttempts.get(g).add(s.attempt());
+            queues.get(s.upstream().id()).add(new QueuedAttempt(s.admissionRank(), order++, g, s));
+            startQueued(s.upstream().id());
         }
 
-        /** Begins jobs while a rank has free slots, the most urgent first. */
-        private void start(String id) {
+        /** Starts queued attempts in admission order while the group member has free slots. */
+        private void startQueued(String id) {
             while (running.getOrDefault(id, 0) < SLOTS && !queues.get(id).isEmpty()) {
-                Job j = queues.get(id).poll();
-                if (live.get(j.gateway()).contains(j.send().attempt())) {
+                QueuedAttempt j = queues.get(id).poll();
+                if (liveAttempts.get(j.gateway()).contains(j.send().attempt())) {
                     running.merge(id, 1, Integer::sum);
                     run(j.gateway(), j.send());
                 }
@@ -256,22 +268,25 @@
 
         private void run(int g, GatewayAction.Send s) {
             for (int ms = FIRST_EVENT_MS; ms < ANSWER_MS; ms += EVENT_MS) {
-                later(ms, () -> {
+                schedule(ms, () -> {
                     Caller c = open.get(g).get(s.request().id());
-                    if (c != null && !isDown() && live.get(g).contains(s.attempt())) {
-                        c.begunMs = c.begun ? c.begunMs : nowMs;
-                        c.begun = true;
-                        on(g, new GatewayEvent.Progress(s.attempt(), true));
+                    if (c != null && !isDown() && liveAttempts.get(g).contains(s.attempt())) {
+                        c.startedMs = c.hasStarted ? c.startedMs : nowMs;
+                        c.hasStarted = true;
+                        on(g, new GatewayEvent.ResponseProgress(s.attempt(), true));
                     }
                 });
             }
-            later(ANSWER_MS, () -> {
+            schedule(ANSWER_MS, () -> {
                 running.merge(s.upstream().id(), -1, Integer::sum);
-                if (live.get(g).remove(s.attempt())) {
-                    AttemptOutcome cut = new AttemptOutcome.Broken(Reason.CONNECTION_LOST);
-                    on(g, new GatewayEvent.Ended(s.attempt(), isDown() ? cut : new AttemptOutcome.Whole(200)));
+                if (liveAttempts.get(g).remove(s.attempt())) {
+                    AttemptOutcome broken = new AttemptOutcome.Broken(Reason.CONNECTION_LOST);
+                    on(
+                            g,
+                            new GatewayEvent.AttemptEnded(
+                                    s.attempt(), isDown() ? broken : new AttemptOutcome.Completed(200)));
                 }
-                start(s.upstream().id());
+                startQueued(s.upstream().id());
             });
         }
 
@@ -280,16 +295,16 @@
             if (!(r.verdict() instanceof Verdict.NotRun v)) {
                 return;
             }
-            long left = c.bornMs + DEADLINE_MS - nowMs;
-            assertTrue(v.retryAfter().toMillis() <= left / 3, "longer than callers wait");
+            long left = c.arrivedMs + DEADLINE_MS - nowMs;
+            assertTrue(v.retryAfter().toMillis() <= left / 3, "retry delay is longer than callers wait");
             c.refusals++;
             if (c.refusals == 1) {
-                later(v.retryAfter().toMillis(), () -> ask(c));
+                schedule(v.retryAfter().toMillis(), () -> sendRequest(c));
             }
         }
 
-        private void later(long ms, Runnable what) {
-            due.add(new Due(nowMs + ms, order++, what));
+        private void schedule(long ms, Runnable task) {
+            tasks.add(new ScheduledTask(nowMs + ms, order++, task));
         }
     }
 }
--- a/core/src/test/java/org/citrontide/core/gateway/MembershipViewTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/MembershipViewTest.java
@@ -9,28 +9,28 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Checks what becomes of upstreams whose entries go. */
+/** Checks the handling of removed and expired entries. */
 final class MembershipViewTest {
     private static final long SECOND = 1_000_000_000L;
 
     private final MembershipView view = new MembershipView();
 
     @Test
-    void anEntryRemovedWhileTheStoreWorksIsGoneAtOnce() {
-        view.written(upstream("a", false));
-        view.removed("a", SECOND);
+    void anEntryRemovedWhileTheStoreIsAvailableIsDroppedImmediately() {
+        view.entryWritten(upstream("a", false));
+        view.entryRemoved("a", SECOND);
         assertEquals(List.of(), view.upstreams());
     }
 
     @Test
-    void anEntryThatLapsedWhileTheStoreWasAwayStaysUntilItsUpstreamHadTimeToReturn() {
-        view.written(upstream("a", false));
-        view.written(upstream("b", false));
-        view.storeAway();
-        view.storeAnswers(10 * SECOND);
+    void anEntryThatExpiredDuringAStoreOutageIsKeptForAGracePeriod() {
+        view.entryWritten(upstream("a", false));
+        view.entryWritten(upstream("b", false));
+        view.storeUnavailable();
+        view.storeAvailable(10 * SECOND);
         view.replaceAll(List.of(), 10 * SECOND);
         assertEquals(2, view.upstreams().size());
-        view.written(upstream("a", false));
+        view.entryWritten(upstream("a", false));
         assertFalse(view.expire(11 * SECOND));
         assertTrue(view.expire(13 * SECOND));
         assertEquals(List.of(upstream("a", false)), view.upstreams());
@@ -38,10 +38,10 @@
 
     @Test
     void aDrainingUpstreamIsNotKept() {
-        view.written(upstream("a", true));
-        view.storeAway();
-        view.storeAnswers(10 * SECOND);
-        view.removed("a", 10 * SECOND);
+        view.entryWritten(upstream("a", true));
+        view.storeUnavailable();
+        view.storeAvailable(10 * SECOND);
+        view.entryRemoved("a", 10 * SECOND);
         assertEquals(List.of(), view.upstreams());
     }
 
--- a/gateway/src/main/java/org/citrontide/gateway/daemon/ControlPlane.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/ControlPlane.java
@@ -7,7 +7,7 @@
 import java.util.random.RandomGenerator;
 
 import io.netty.channel.EventLoop;
-import org.citrontide.core.gateway.SlackShare;
+import org.citrontide.core.gateway.RetrySlackShare;
 import org.citrontide.core.routes.ListedUpstream;
 import org.citrontide.core.routes.RoutingTable;
 import org.citrontide.gateway.dispatch.GatewayShell;
@@ -34,14 +34,18 @@
     private final Leadership leadership;
     private final GatewayRegister register;
     private final MapShell maps;
-    private final SlackShare slack;
+    private final RetrySlackShare slack;
     private boolean leads;
     private boolean stopping;
     private boolean resigned;
     private volatile boolean holding;
 
     ControlPlane(
-            GatewaySettings settings, EventLoop loop, RandomGenerator random, GatewayShell shell, SlackShare slack) {
+            GatewaySettings settings,
+            EventLoop loop,
+            RandomGenerator random,
+            GatewayShell shell,
+            RetrySlackShare slack) {
         this.slack = slack;
         this.loop = loop;
         this.shell = shell;
@@ -95,7 +99,7 @@
 
     @Override
     public void gateways(int count) {
-        slack.gateways(count);
+        slack.setGatewayCount(count);
     }
 
     @Override
--- a/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayModule.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayModule.java
@@ -14,8 +14,8 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 import org.citrontide.core.gateway.GatewayDispatcher;
-import org.citrontide.core.gateway.RepeatAllowance;
-import org.citrontide.core.gateway.SlackShare;
+import org.citrontide.core.gateway.GatewayRetryBudget;
+import org.citrontide.core.gateway.RetrySlackShare;
 import org.citrontide.gateway.admin.AdminPages;
 import org.citrontide.gateway.admin.PeerPages;
 import org.citrontide.gateway.admin.SmallHttpServer;
@@ -69,16 +69,16 @@
 
     @Provides
     @Singleton
-    SlackShare slackShare() {
-        return new SlackShare(settings.repeatSlack());
+    RetrySlackShare slackShare() {
+        return new RetrySlackShare(settings.repeatSlack());
     }
 
     @Provides
     @Singleton
-    GatewayShell shell(EventLoopGroup loop, PrometheusRegistry registry, RandomGenerator r, SlackShare slack) {
+    GatewayShell shell(EventLoopGroup loop, PrometheusRegistry registry, RandomGenerator r, RetrySlackShare slack) {
         GatewayDispatcher dispatcher = new GatewayDispatcher(
                 settings.zone(),
-                () -> new RepeatAllowance(settings.repeatRatio(), settings.repeatWindow(), slack),
+                () -> new GatewayRetryBudget(settings.repeatRatio(), settings.repeatWindow(), slack),
                 random.split());
         return new GatewayShell(dispatcher, loop.next(), r, new GatewayMetrics(registry, settings.maxTeamLabels()));
     }
@@ -91,7 +91,7 @@
 
     @Provides
     @Singleton
-    ControlPlane controlPlane(EventLoopGroup loop, RandomGenerator r, GatewayShell shell, SlackShare slack) {
+    ControlPlane controlPlane(EventLoopGroup loop, RandomGenerator r, GatewayShell shell, RetrySlackShare slack) {
         return new ControlPlane(settings, loop.next(), r, shell, slack);
     }
 }
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
@@ -13,11 +13,11 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import org.citrontide.core.expertmap.RankReport;
 import org.citrontide.core.gateway.AttemptOutcome;
+import org.citrontide.core.gateway.CallerWaitEstimator;
 import org.citrontide.core.gateway.GatewayAction;
 import org.citrontide.core.gateway.GatewayDispatcher;
 import org.citrontide.core.gateway.GatewayEvent;
 import org.citrontide.core.gateway.GatewayRequest;
-import org.citrontide.core.gateway.UsualTime;
 import org.citrontide.core.routes.ListedUpstream;
 import org.citrontide.core.routes.Route;
 import org.citrontide.core.routes.RoutingTable;
@@ -53,7 +53,7 @@
     private final ReportReader reports;
     private final RandomGenerator random;
     private final GatewayMetrics metrics;
-    private final UsualTime usualTime = new UsualTime();
+    private final CallerWaitEstimator waitEstimator = new CallerWaitEstimator();
     private final RequestLog log = new RequestLog();
     private final Map<Long, OpenExchange> open = new HashMap<>();
     private final Map<Long, OpenExchange> byAttempt = new HashMap<>();
@@ -125,7 +125,7 @@
      */
     public void listed(List<ListedUpstream> upstreams) {
         speeds.keySet().retainAll(upstreams.stream().map(ListedUpstream::id).toList());
-        handle(new GatewayEvent.Listed(upstreams));
+        handle(new GatewayEvent.UpstreamsUpdated(upstreams));
     }
 
     @Override
@@ -147,7 +147,7 @@
         GatewayRequest g = request(r, head, now);
         open.put(g.id(), new OpenExchange(r, g));
         ids.put(r, g.id());
-        handle(new GatewayEvent.Arrived(g));
+        handle(new GatewayEvent.RequestArrived(g));
     }
 
     @Override
@@ -159,7 +159,7 @@
         OpenExchange e = open.remove(id);
         log.ended(e, "caller-gone", "none", table.version());
         metrics.ended(e.request.service(), e.request.team(), e.request.rank(), "caller-gone", "none", age(e));
-        handle(new GatewayEvent.CallerGone(id));
+        handle(new GatewayEvent.CallerDisconnected(id));
     }
 
     @Override
@@ -174,7 +174,7 @@
             ended(a, new AttemptOutcome.Broken(Reason.ANSWER_BROKEN));
             return;
         }
-        handle(new GatewayEvent.Progress(a.number(), e.begun || events.length > 0));
+        handle(new GatewayEvent.ResponseProgress(a.number(), e.begun || events.length > 0));
         if (events.length == 0 || !open.containsKey(e.request.id())) {
             return;
         }
@@ -188,11 +188,12 @@
         if (e == null) {
             return;
         }
-        boolean isCut = a.head().isPresent() && outcome instanceof AttemptOutcome.Whole && !e.events.isBetweenEvents();
+        boolean isCut =
+                a.head().isPresent() && outcome instanceof AttemptOutcome.Completed && !e.events.isBetweenEvents();
         AttemptOutcome o = isCut ? new AttemptOutcome.Broken(Reason.ANSWER_BROKEN) : outcome;
         byAttempt.remove(a.number());
         log.attemptEnded(e, a, o);
-        handle(new GatewayEvent.Ended(a.number(), o));
+        handle(new GatewayEvent.AttemptEnded(a.number(), o));
     }
 
     private void tick() {
@@ -221,21 +222,21 @@
                 rank,
                 tokens.prompt(),
                 tokens.answer(),
-                usualTime.waitedBefore(route.name(), time),
+                waitEstimator.estimateWait(route.name(), time),
                 now,
                 now + time.toNanos());
     }
 
     private void handle(GatewayEvent event) {
-        for (GatewayAction action : dispatcher.on(event, System.nanoTime())) {
+        for (GatewayAction action : dispatcher.handle(event, System.nanoTime())) {
             switch (action) {
                 case GatewayAction.Send s -> send(s);
                 case GatewayAction.Cancel c -> cancel(c.attempt());
                 case GatewayAction.Deliver d -> deliver(d);
                 case GatewayAction.Refuse r -> refuse(r);
-                case GatewayAction.BreakOff b -> breakOff(b);
-                case GatewayAction.AskSpeeds a -> a.upstreams().forEach(this::askSpeed);
-                case GatewayAction.GroupNoted n -> log.groupNoted(n);
+                case GatewayAction.AbortResponse b -> breakOff(b);
+                case GatewayAction.QuerySpeeds a -> a.upstreams().forEach(this::askSpeed);
+                case GatewayAction.GroupStateChanged n -> log.groupNoted(n);
             }
         }
     }
@@ -272,7 +273,7 @@
         if (Math.abs(r.slowness() - before) > NOTED_SPEED_CHANGE) {
             log.speedTold(u.id(), before, r.slowness());
         }
-        handle(new GatewayEvent.SpeedTold(u.id(), r.slowness()));
+        handle(new GatewayEvent.SpeedReported(u.id(), r.slowness()));
     }
 
     private void cancel(long attempt) {
@@ -310,7 +311,7 @@
         Refusals.send(e.caller, r.verdict());
     }
 
-    private void breakOff(GatewayAction.BreakOff b) {
+    private void breakOff(GatewayAction.AbortResponse b) {
         OpenExchange e = close(b.request());
         finished(e, "broken-off", Refusals.reason(b.verdict()));
         e.caller.connection().breakOff();
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/RequestLog.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/RequestLog.java
@@ -52,7 +52,7 @@
     }
 
     void attemptEnded(OpenExchange e, UpstreamAttempt a, AttemptOutcome outcome) {
-        if (!(outcome instanceof AttemptOutcome.Whole) && trouble.tryLine(System.nanoTime())) {
+        if (!(outcome instanceof AttemptOutcome.Completed) && trouble.tryLine(System.nanoTime())) {
             LOG.info("attempt-failed")
                     .with("id", id(e.caller))
                     .with("service", e.request.service())
@@ -93,7 +93,7 @@
         line.write();
     }
 
-    void groupNoted(GatewayAction.GroupNoted n) {
+    void groupNoted(GatewayAction.GroupStateChanged n) {
         LOG.info(n.isDown() ? "group-down" : "group-works")
                 .with("service", n.service())
                 .with("waiting", n.waiting())
--- a/gateway/src/main/java/org/citrontide/gateway/store/StoreMirror.java
+++ b/gateway/src/main/java/org/citrontide/gateway/store/StoreMirror.java
@@ -202,7 +202,7 @@
                 .with("own-revision", revision.orElse(0L))
                 .write();
         // The peer reads a store that works: what is missing there is gone.
-        members.storeAnswers(System.nanoTime());
+        members.storeAvailable(System.nanoTime());
         loaded(page.items());
         revision = Optional.of(page.revision());
     }
@@ -264,11 +264,11 @@
         Optional<ListedUpstream> upstream = c.item().flatMap(this::decode);
         if (upstream.isPresent()) {
             noteDraining(upstream.get());
-            members.written(upstream.get());
+            members.entryWritten(upstream.get());
             return;
         }
         LOG.info("upstream-removed").with("upstream", id).write();
-        members.removed(id, System.nanoTime());
+        members.entryRemoved(id, System.nanoTime());
     }
 
     private int countGateways() {
@@ -352,7 +352,7 @@
 
     private void away(String why) {
         failures++;
-        members.storeAway();
+        members.storeUnavailable();
         if (!isAway) {
             isAway = true;
             LOG.warn("store-lost").with("why", why).write();
@@ -364,7 +364,7 @@
 
     private void back() {
         failures = 0;
-        members.storeAnswers(System.nanoTime());
+        members.storeAvailable(System.nanoTime());
         if (isAway) {
             isAway = false;
             LOG.info("store-regained").with("after-ms", ageMillis()).write();
--- a/gateway/src/main/java/org/citrontide/gateway/upstream/AnswerClassifier.java
+++ b/gateway/src/main/java/org/citrontide/gateway/upstream/AnswerClassifier.java
@@ -29,7 +29,7 @@
         }
         return head.status() >= SERVER_ERROR
                 ? new AttemptOutcome.Failed(head.status())
-                : new AttemptOutcome.Whole(head.status());
+                : new AttemptOutcome.Completed(head.status());
     }
 
     private static Cause cause(AnswerHead head) {
