--- a/gateway/src/main/java/org/citrontide/gateway/store/Leadership.java
+++ b/gateway/src/main/java/org/citrontide/gateway/store/Leadership.java
@@ -10,7 +10,7 @@
 import java.util.random.RandomGenerator;
 
 import io.netty.channel.EventLoop;
-import org.citrontide.core.lease.LeaseTerm;
+import org.citrontide.core.lease.LeaseValidity;
 import org.citrontide.platform.DecodeException;
 import org.citrontide.platform.MetadataStore;
 import org.citrontide.platform.PlatformCall;
@@ -54,7 +54,7 @@
     private final RandomGenerator random;
     private final String vm;
     private final Listener listener;
-    private final LeaseTerm lease = new LeaseTerm(TIME);
+    private final LeaseValidity lease = new LeaseValidity(TIME);
     private OptionalLong leaseNumber = OptionalLong.empty();
     private boolean leads;
     private boolean applying;
@@ -124,7 +124,7 @@
             return;
         }
         applying = true;
-        lease.asked(System.nanoTime(), System.currentTimeMillis());
+        lease.requestSent(System.nanoTime(), System.currentTimeMillis());
         caller.call(store, MetadataStore.lease(TIME), CALL_TIMEOUT).whenComplete((reply, failure) -> {
             applying = false;
             if (failure != null || reply.status() != OK) {
@@ -185,7 +185,7 @@
             return;
         }
         long number = leaseNumber.orElseThrow();
-        lease.asked(System.nanoTime(), System.currentTimeMillis());
+        lease.requestSent(System.nanoTime(), System.currentTimeMillis());
         caller.call(store, MetadataStore.renew(number), CALL_TIMEOUT).whenComplete((reply, failure) -> {
             if (!leads || leaseNumber.isEmpty() || leaseNumber.getAsLong() != number) {
                 return;
