--- a/core/src/main/java/org/citrontide/core/verdict/Reason.java
+++ b/core/src/main/java/org/citrontide/core/verdict/Reason.java
@@ -3,43 +3,43 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Why a request did not complete. The HTTP status is what the caller sees. Immutable. */
+/** The reason why a request did not complete, with the HTTP status sent to the caller. Immutable. */
 public enum Reason {
     /** The request is malformed. */
     BAD_REQUEST(400),
-    /** The token is missing or names no team. */
+    /** The token is missing or belongs to no team. */
     UNAUTHENTICATED(401),
-    /** No service has this name, or the service has no such call. */
+    /** No service has this name, or the service does not offer this call. */
     UNKNOWN_SERVICE(404),
-    /** The body is longer than the limit. */
+    /** The body exceeds the size limit. */
     BODY_TOO_LARGE(413),
-    /** The team is above its share while the service is short of capacity. */
+    /** The team exceeds its share while the service is short of capacity. */
     OVER_SHARE(429),
-    /** The queue is full, or the request gave way to more urgent work. */
+    /** The queue is full, or the request was dropped in favour of a more urgent one. */
     OVERLOADED(503),
-    /** A bounded ring between two threads is full. */
+    /** A bounded ring buffer between two threads is full. */
     RING_FULL(503),
-    /** No upstream of the service takes work. */
+    /** No upstream of the service accepts requests. */
     NO_UPSTREAM(503),
     /** The process is stopping. */
     DRAINING(503),
-    /** The process has no configuration yet. */
+    /** The process has not loaded a configuration yet. */
     NOT_READY(503),
-    /** The platform's key-value service can't be reached, and the call must not run without a claim. */
+    /** The platform's key-value service is unreachable, and the call must not run without a claim. */
     STORE_UNREACHABLE(503),
-    /** The connection to the upstream could not be made. */
+    /** The connection to the upstream could not be established. */
     UPSTREAM_UNREACHABLE(503),
     /** The deadline passed. */
     DEADLINE(504),
-    /** The caller went away. */
+    /** The caller disconnected. */
     CANCELLED(499),
-    /** The same idempotency key is running now. */
+    /** A request with the same idempotency key is in progress. */
     IN_PROGRESS(409),
-    /** The same idempotency key was claimed before, and its answer is not at hand. */
+    /** The idempotency key was claimed before, and the response to that request is not available. */
     CLAIMED_BEFORE(409),
-    /** The connection broke after the request was sent. */
+    /** The connection was lost after the request was sent. */
     CONNECTION_LOST(502),
-    /** The answer broke off or did not match its announced length. */
+    /** The response was truncated or did not match its announced length. */
     ANSWER_BROKEN(502);
 
     private final int httpStatus;
@@ -51,7 +51,7 @@
     /**
      * Finds a reason by its key.
      *
-     * @param key text as made by {@link #key()}
+     * @param key text as returned by {@link #key()}
      * @return the reason, or empty if no reason has this key
      */
     public static Optional<Reason> ofKey(String key) {
@@ -64,9 +64,9 @@
     }
 
     /**
-     * Returns the HTTP status that goes with this reason.
+     * Returns the HTTP status for this reason.
      *
-     * @return status code
+     * @return HTTP status code
      */
     public int httpStatus() {
         return httpStatus;
--- a/core/src/main/java/org/citrontide/core/verdict/Verdict.java
+++ b/core/src/main/java/org/citrontide/core/verdict/Verdict.java
@@ -4,24 +4,24 @@
 import java.util.Objects;
 
 /**
- * The outcome of a request or of one attempt, which says whether the request may have run.
+ * The outcome of a request or of one attempt, which states whether the request may have run.
  *
- * <p>Invariant: {@link NotRun} is only built where the upstream certainly received no byte of the request. Every path
- * that ends a request ends in one of these. Immutable and safe for use by many threads.
+ * <p>Invariants: {@link NotRun} is only created where the upstream certainly received no byte of the request. Every
+ * code path that ends a request produces a verdict. Immutable and thread-safe.
  */
 public sealed interface Verdict {
 
     /**
      * Returns the value of the {@code Citrontide-Verdict} header.
      *
-     * @return the name on the wire
+     * @return name of the verdict on the wire
      */
     String headerValue();
 
     /**
-     * The upstream answered and the whole answer is at hand.
+     * The upstream responded, and the complete response is available.
      *
-     * @param status HTTP status of the upstream's answer
+     * @param status HTTP status of the response
      */
     record Completed(int status) implements Verdict {
         @Override
@@ -34,14 +34,14 @@
      * The request certainly did not run.
      *
      * @param reason why it was refused
-     * @param retryAfter when the caller may ask again
+     * @param retryAfter delay after which the caller may retry
      */
     record NotRun(Reason reason, Duration retryAfter) implements Verdict {
 
         /**
-         * Checks the parts.
+         * Validates the verdict.
          *
-         * @throws IllegalArgumentException if the time is negative
+         * @throws IllegalArgumentException if the delay is negative
          */
         public NotRun {
             Objects.requireNonNull(reason);
@@ -57,9 +57,9 @@
     }
 
     /**
-     * The request may have run, and its answer is lost.
+     * The request may have run, and its response was lost.
      *
-     * @param reason how the answer was lost
+     * @param reason why the response was lost
      */
     record MayHaveRun(Reason reason) implements Verdict {
         @Override
