--- a/core/src/main/java/org/citrontide/core/expertmap/GroupMapController.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/GroupMapController.java
@@ -245,7 +245,7 @@
         }
         long inForce = versions.iterator().next();
         if (inForce == 0) {
-            current = Optional.of(GroupMap.initial(profile.sets(), profile.experts(), ranks.size()));
+            current = Optional.of(GroupMap.initial(profile.expertSets(), profile.expertsPerSet(), ranks.size()));
         }
         if (current.isPresent() && current.get().version() == inForce) {
             beginSampling(Duration.ZERO, turn);
@@ -288,7 +288,7 @@
         }
         lists.put(rank, l.experts().get());
         if (lists.size() == ranks.size()) {
-            current = Optional.of(GroupMap.ofLists(l.version(), List.copyOf(lists.values()), profile.experts()));
+            current = Optional.of(GroupMap.ofLists(l.version(), List.copyOf(lists.values()), profile.expertsPerSet()));
             beginSampling(Duration.ZERO, turn);
         }
     }
@@ -403,7 +403,7 @@
         turn.note("map-change-begun", d.describe(map, from));
         enter(Phase.CHANGING, turn);
         next = Optional.of(map);
-        Duration copy = profile.copyTime(map.mostNewOnOneRank(from));
+        Duration copy = profile.expertCopyTime(map.mostNewOnOneRank(from));
         change = Optional.of(GroupChange.begin(ranks, epoch, passes, answers, map, copy, turn));
     }
 
--- a/core/src/main/java/org/citrontide/core/expertmap/MapDecision.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/MapDecision.java
@@ -27,7 +27,7 @@
 
     MapDecision(EngineProfile profile, long nowNanos) {
         this.profile = profile;
-        this.demand = new DemandEstimate(profile.sets(), profile.experts());
+        this.demand = new DemandEstimate(profile.expertSets(), profile.expertsPerSet());
         this.movedNanos = nowNanos;
         this.effort = BalanceEffort.of(Duration.ZERO, Duration.ZERO, false);
     }
@@ -68,7 +68,7 @@
 
     /** Takes the running counts of a rank; returns false if they are of another shape. */
     boolean read(int rank, long[] counts) {
-        if (counts.length != profile.sets() * profile.experts()) {
+        if (counts.length != profile.expertSets() * profile.expertsPerSet()) {
             return false;
         }
         demand.read(rank, counts);
@@ -94,7 +94,8 @@
         if (current.skew(loads) < effort.skew()) {
             return Optional.empty();
         }
-        return Optional.of(new MapAction.Plan(current, loads, profile.newPerPrepare(), newVersion, effort.stepGain()));
+        return Optional.of(
+                new MapAction.Plan(current, loads, profile.maxNewExpertsPerPrepare(), newVersion, effort.stepGain()));
     }
 
     /** Says whether a map that was found should be put in force. */
@@ -112,6 +113,6 @@
     }
 
     private List<RankLoads> loads() {
-        return demand.loads(speeds, profile.placesPerRank());
+        return demand.loads(speeds, profile.maxExpertsPerRank());
     }
 }
--- a/core/src/main/java/org/citrontide/core/gateway/GatewayDispatcher.java
+++ b/core/src/main/java/org/citrontide/core/gateway/GatewayDispatcher.java
@@ -230,7 +230,7 @@
             }
             for (OpenGatewayRequest o : List.copyOf(openById.values())) {
                 boolean isAffected = o.attempt.isPresent() && o.attempt.get().upstream == u;
-                if (isAffected && o.request.route().repeat() == Route.Repeat.RESUMABLE && canRetry(o)) {
+                if (isAffected && o.request.route().retrySafety() == Route.RetrySafety.RESUMABLE && canRetry(o)) {
                     retryElsewhere(o);
                 }
             }
@@ -295,7 +295,7 @@
                 case AttemptOutcome.Completed c -> deliver(o, a);
                 case AttemptOutcome.Failed f -> {
                     o.mayHaveRunReason = Optional.of(Reason.ANSWER_BROKEN);
-                    if (o.request.route().isRepeatable() && tryRetry(o)) {
+                    if (o.request.route().isRetryable() && tryRetry(o)) {
                         send(o, Reason.ANSWER_BROKEN);
                     } else if (o.isResponseStarted) {
                         fail(o, Reason.ANSWER_BROKEN);
@@ -314,7 +314,7 @@
                 case AttemptOutcome.Rejected r -> retryOrFail(o, Reason.OVERLOADED);
                 case AttemptOutcome.Broken b -> {
                     o.mayHaveRunReason = Optional.of(b.reason());
-                    if (o.request.route().isRepeatable() && !isStartedAndGroupDown(o)) {
+                    if (o.request.route().isRetryable() && !isStartedAndGroupDown(o)) {
                         retryOrFail(o, b.reason());
                     } else {
                         fail(o, b.reason());
@@ -419,7 +419,7 @@
 
         /** Returns whether a retryable attempt makes no progress while others of its service do. */
         private boolean isStalled(OpenGatewayRequest o) {
-            if (o.attempt.isEmpty() || !o.request.route().isRepeatable() || !canRetry(o)) {
+            if (o.attempt.isEmpty() || !o.request.route().isRetryable() || !canRetry(o)) {
                 return false;
             }
             OpenGatewayRequest.Attempt a = o.attempt.get();
--- a/core/src/main/java/org/citrontide/core/gateway/GatewayRequest.java
+++ b/core/src/main/java/org/citrontide/core/gateway/GatewayRequest.java
@@ -13,7 +13,7 @@
  * @param team name of the caller's team, empty if the route needs no key
  * @param rank rank in the admission order, 0 first
  * @param promptTokens number of prompt tokens, 0 if there is no prompt
- * @param answerTokens expected number of completion tokens, 0 if there is no completion
+ * @param completionTokens expected number of completion tokens, 0 if there is no completion
  * @param waited estimated time that the caller had waited before this request arrived
  * @param arrivedNanos monotonic time of arrival in ns
  * @param deadlineNanos monotonic time in ns by which the final response is due
@@ -25,7 +25,7 @@
         String team,
         int rank,
         int promptTokens,
-        int answerTokens,
+        int completionTokens,
         Duration waited,
         long arrivedNanos,
         long deadlineNanos) {
--- a/core/src/main/java/org/citrontide/core/gateway/UpstreamRegistry.java
+++ b/core/src/main/java/org/citrontide/core/gateway/UpstreamRegistry.java
@@ -32,7 +32,7 @@
         for (ListedUpstream l : list) {
             present.add(l.id());
             UpstreamState known = byId.get(l.id());
-            if (known != null && known.entry().isSameStart(l)) {
+            if (known != null && known.entry().isSameInstance(l)) {
                 known.updateEntry(l);
             } else {
                 byId.put(l.id(), new UpstreamState(l, nowNanos));
--- a/core/src/main/java/org/citrontide/core/routes/ListedUpstream.java
+++ b/core/src/main/java/org/citrontide/core/routes/ListedUpstream.java
@@ -3,16 +3,16 @@
 import java.util.Objects;
 
 /**
- * An upstream as the platform's list names it. Immutable.
+ * An entry of the platform's upstream list. Immutable.
  *
- * @param id name of this start of the upstream
+ * @param id identity of the upstream
  * @param service name of its service
- * @param host IP number
+ * @param host IP address
  * @param port TCP port
  * @param zone availability zone
- * @param slots requests that it processes at once
- * @param draining whether it takes no new work
- * @param startedMillis Unix time of its start in ms, 0 if unknown; an upstream may start again under the same id
+ * @param slots requests that it processes concurrently
+ * @param draining whether it is draining and accepts no new requests
+ * @param startedMillis Unix time of its start in ms, 0 if unknown; an upstream may restart under the same id
  */
 public record ListedUpstream(
         String id,
@@ -25,7 +25,7 @@
         long startedMillis) {
 
     /**
-     * Checks the parts.
+     * Validates the entry.
      *
      * @throws IllegalArgumentException if the port or the number of slots is out of range
      */
@@ -42,12 +42,12 @@
     }
 
     /**
-     * Says whether another entry names the same start of the same upstream.
+     * Returns whether another entry refers to the same instance of the same upstream.
      *
      * @param other the other entry
-     * @return true if all that an attempt depends on is equal
+     * @return true if everything that an attempt depends on is equal
      */
-    public boolean isSameStart(ListedUpstream other) {
+    public boolean isSameInstance(ListedUpstream other) {
         return id.equals(other.id)
                 && service.equals(other.service)
                 && host.equals(other.host)
--- a/core/src/main/java/org/citrontide/core/routes/Route.java
+++ b/core/src/main/java/org/citrontide/core/routes/Route.java
@@ -5,27 +5,27 @@
 import java.util.Objects;
 
 /**
- * How requests of one host and path prefix are treated. Immutable.
+ * The handling of requests for one host and path prefix. Immutable.
  *
  * @param name name of the route, for logs
  * @param host host name in lower case
- * @param prefix beginning of the paths that it covers, with a slash at both ends
- * @param splits services that share the traffic, at least one
- * @param repeat what may be done after an attempt that may have run
- * @param streaming whether the answer is a series of events
- * @param timeout longest time that a caller is kept waiting
- * @param target time within which an answer is on time
- * @param targetGap longest pause between events of an answer that is on time, zero if it is no stream
- * @param maxAttempts most upstreams that one request is sent to
- * @param priority rank of the requests, 0 first
- * @param isPublic whether callers need no key
+ * @param prefix prefix of the matching paths, with a slash at both ends
+ * @param splits weighted services that share the traffic, at least one
+ * @param retrySafety how a request may be retried after an attempt that may have run
+ * @param streaming whether the response is a stream of events
+ * @param timeout maximum time to the end of a response
+ * @param target target latency: a response within this time is on time
+ * @param targetGap maximum gap between events of a stream that is on time, zero if the response is not a stream
+ * @param maxAttempts maximum number of upstreams that one request is sent to
+ * @param priority rank of the requests in the admission order, 0 first
+ * @param isPublic whether callers may omit the API key
  */
 public record Route(
         String name,
         String host,
         String prefix,
         List<Split> splits,
-        Repeat repeat,
+        RetrySafety retrySafety,
         boolean streaming,
         Duration timeout,
         Duration target,
@@ -34,51 +34,52 @@
         int priority,
         boolean isPublic) {
 
-    /** What may be done with a request after an attempt that may have run. */
-    public enum Repeat {
-        /** It may run again. */
+    /** How a request may be retried after an attempt that may have run. */
+    public enum RetrySafety {
+        /** The request may run again. */
         IDEMPOTENT,
-        /** Its stream may be resumed after the last event that the caller has. */
+        /** The stream may be resumed after the last event sent to the caller. */
         RESUMABLE,
-        /** Nothing: it runs once at most. */
-        ONCE
+        /** The request must run at most once, so it may not be retried. */
+        AT_MOST_ONCE
     }
 
     /**
-     * One service's part of the traffic.
+     * The share of one service in the traffic of a route.
      *
      * @param service name of the service
-     * @param weight its share relative to the other weights, 0 or more
+     * @param weight share relative to the sum of all weights, 0 or more
      */
     public record Split(String service, int weight) {}
 
-    /** Checks the parts and copies the list. */
+    /** Validates the route and copies the list. */
     public Route {
         Objects.requireNonNull(name);
-        Objects.requireNonNull(repeat);
+        Objects.requireNonNull(retrySafety);
         splits = List.copyOf(splits);
         if (splits.isEmpty()) {
-            throw new IllegalArgumentException("route " + name + " leads to no service");
+            throw new IllegalArgumentException("route " + name + " has no service");
         }
         if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
-            throw new IllegalArgumentException("prefix of route " + name + " needs a slash at both ends: " + prefix);
+            throw new IllegalArgumentException(
+                    "prefix of route " + name + " must start and end with a slash: " + prefix);
         }
     }
 
     /**
-     * Says whether an attempt that may have run can be followed by another one.
+     * Returns whether a request may be retried after an attempt that may have run.
      *
-     * @return true if repeating does no harm
+     * @return true if another run or a resumption of the stream is safe
      */
-    public boolean isRepeatable() {
-        return repeat != Repeat.ONCE;
+    public boolean isRetryable() {
+        return retrySafety != RetrySafety.AT_MOST_ONCE;
     }
 
     /**
-     * Chooses the service of one request.
+     * Selects the service of a request in proportion to the weights.
      *
-     * @param point uniformly distributed in [0, 1)
-     * @return name of a service, in proportion to the weights
+     * @param point random number, uniformly distributed in [0, 1)
+     * @return name of the service
      */
     public String service(double point) {
         int total = splits.stream().mapToInt(Split::weight).sum();
--- a/core/src/main/java/org/citrontide/core/routes/RoutingTable.java
+++ b/core/src/main/java/org/citrontide/core/routes/RoutingTable.java
@@ -10,12 +10,12 @@
 import java.util.Optional;
 
 /**
- * One version of the routes, services and teams. Immutable and safe for use by many threads.
+ * One version of the configured routes, services and teams. Immutable and thread-safe.
  *
- * <p>Invariant: of the routes that cover a path, the one with the longest prefix is found.
+ * <p>Invariant: among the routes that match a request, the one with the longest prefix is selected.
  */
 public final class RoutingTable {
-    /** The table of a process that knows no configuration yet. */
+    /** The table of a process that has not loaded a configuration yet. */
     public static final RoutingTable NONE =
             new RoutingTable(0, List.of(), Map.of(), CallerLimits.INITIAL, Optional.empty());
 
@@ -26,13 +26,13 @@
     private final Optional<Map<String, Team>> teamsByKey;
 
     /**
-     * Makes a table.
+     * Creates a table.
      *
      * @param version number of the version, 0 for none
      * @param routes all routes
      * @param services services by name
      * @param limits limits on callers
-     * @param teamsByKey teams by key, or empty if callers need no keys
+     * @param teamsByKey teams by API key, or empty if callers need no keys
      */
     public RoutingTable(
             long version,
@@ -53,9 +53,9 @@
     }
 
     /**
-     * Returns the version.
+     * Returns the version of the configuration.
      *
-     * @return number, 0 for none
+     * @return version number, 0 for none
      */
     public long version() {
         return version;
@@ -64,26 +64,26 @@
     /**
      * Returns the limits on callers.
      *
-     * @return the limits
+     * @return limits on the size and duration of requests
      */
     public CallerLimits limits() {
         return limits;
     }
 
     /**
-     * Says whether callers of routes that aren't public need a key.
+     * Returns whether callers need an API key for routes that aren't public.
      *
-     * @return true if they do
+     * @return true if a key is needed
      */
     public boolean needsKeys() {
         return teamsByKey.isPresent();
     }
 
     /**
-     * Finds the team that holds a key.
+     * Finds the team that an API key belongs to.
      *
-     * @param key the key as the caller sent it
-     * @return the team, if any holds it
+     * @param key the key as sent by the caller
+     * @return the team, or empty if the key is unknown
      */
     public Optional<Team> team(String key) {
         return teamsByKey.map(t -> t.get(key));
@@ -92,8 +92,8 @@
     /**
      * Finds a service.
      *
-     * @param name its name
-     * @return what the configuration says of it
+     * @param name name of the service
+     * @return its configuration, or empty if there is no such service
      */
     public Optional<ServiceProfile> service(String name) {
         return Optional.ofNullable(services.get(name));
@@ -109,10 +109,10 @@
     }
 
     /**
-     * Returns the shortest pause between events that a route of a service asks for.
+     * Returns the shortest target gap between events among the routes of a service.
      *
      * @param service name of the service
-     * @return the pause, zero if no route of the service asks for one
+     * @return the gap, zero if no route of the service has one
      */
     public Duration targetGap(String service) {
         return routesByHost.values().stream()
@@ -127,9 +127,9 @@
     /**
      * Finds the route of a request.
      *
-     * @param host value of the host header, with or without a port
+     * @param host value of the Host header, with or without a port
      * @param target path of the request, with or without a query
-     * @return the route with the longest prefix that begins the path
+     * @return the route with the longest matching prefix, or empty if none matches
      */
     public Optional<Route> find(String host, String target) {
         int colon = host.lastIndexOf(':');
--- a/core/src/main/java/org/citrontide/core/routes/ServiceProfile.java
+++ b/core/src/main/java/org/citrontide/core/routes/ServiceProfile.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * What the configuration says of one service. Immutable.
+ * The configuration of one service. Immutable.
  *
  * @param name name of the service
- * @param maxConnections connections that one upstream accepts from all callers together
- * @param engine speed and sizes, if its upstreams are model engines
+ * @param maxConnections maximum number of connections that one upstream accepts from all clients together
+ * @param engine performance and capacity of its upstreams, if they are model engines
  */
 public record ServiceProfile(String name, int maxConnections, Optional<EngineProfile> engine) {}
--- a/core/src/main/java/org/citrontide/core/routes/Team.java
+++ b/core/src/main/java/org/citrontide/core/routes/Team.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 
 /**
- * A team that calls with keys of its own. Immutable.
+ * A team that authenticates with its own API keys. Immutable.
  *
  * @param name name of the team
- * @param priority rank of its requests, which goes before the route's
+ * @param priority rank of its requests, which overrides the rank of the route
  */
 public record Team(String name, Optional<Integer> priority) {}
--- a/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherFaultTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherFaultTest.java
@@ -48,15 +48,15 @@
 
     /** The expected state of a request. */
     private static final class TrackedRequest {
-        private final Route.Repeat repeat;
+        private final Route.RetrySafety retrySafety;
         private final long deadlineMs;
         private final Set<String> reached = new HashSet<>();
         private boolean mayHaveRun;
         private int inFlight;
         private boolean ended;
 
-        private TrackedRequest(Route.Repeat repeat, long deadlineMs) {
-            this.repeat = repeat;
+        private TrackedRequest(Route.RetrySafety retrySafety, long deadlineMs) {
+            this.retrySafety = retrySafety;
             this.deadlineMs = deadlineMs;
         }
     }
@@ -114,23 +114,23 @@
         }
 
         private void arrive() {
-            Route.Repeat repeat = Route.Repeat.values()[random.nextInt(3)];
+            Route.RetrySafety retrySafety = Route.RetrySafety.values()[random.nextInt(3)];
             Route route = new Route(
                     "r",
                     "h",
                     "/",
                     List.of(new Route.Split("s", 1)),
-                    repeat,
-                    repeat == Route.Repeat.RESUMABLE,
+                    retrySafety,
+                    retrySafety == Route.RetrySafety.RESUMABLE,
                     Duration.ofMillis(TIMEOUT_MS),
                     Duration.ofMillis(300),
-                    repeat == Route.Repeat.RESUMABLE ? Duration.ofMillis(20) : Duration.ZERO,
+                    retrySafety == Route.RetrySafety.RESUMABLE ? Duration.ofMillis(20) : Duration.ZERO,
                     MAX_ATTEMPTS,
                     0,
                     false);
             long id = ++lastId;
             long deadline = nowMs + 200 + random.nextInt(TIMEOUT_MS - 200);
-            requests.put(id, new TrackedRequest(repeat, deadline));
+            requests.put(id, new TrackedRequest(retrySafety, deadline));
             on(new GatewayEvent.RequestArrived(
                     new GatewayRequest(id, route, "s", "t", 0, 0, 0, Duration.ZERO, nowMs * MS, deadline * MS)));
         }
@@ -221,7 +221,8 @@
             assertEquals(0, a.inFlight, "two attempts in flight");
             assertTrue(usable.contains(s.upstream().id()), "sent to an upstream that accepts no requests");
             assertFalse(
-                    a.repeat == Route.Repeat.ONCE && a.mayHaveRun, "retried an at-most-once request that may have run");
+                    a.retrySafety == Route.RetrySafety.AT_MOST_ONCE && a.mayHaveRun,
+                    "retried an at-most-once request that may have run");
             retried += a.reached.isEmpty() ? 0 : 1;
             a.reached.add(s.upstream().id());
             assertTrue(a.reached.size() <= MAX_ATTEMPTS, "reached " + a.reached);
--- a/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherTest.java
@@ -44,7 +44,7 @@
 
     @Test
     void anAtMostOnceRequestIsNotRetriedAfterItMayHaveRun() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.ONCE));
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
         GatewayAction end = only(end(first, BROKEN));
         Verdict v = assertInstanceOf(GatewayAction.Refuse.class, end).verdict();
         assertEquals(new Verdict.MayHaveRun(Reason.CONNECTION_LOST), v);
@@ -52,7 +52,7 @@
 
     @Test
     void anAtMostOnceRequestIsRetriedElsewhereAfterARejection() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.ONCE));
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
         GatewayAction.Send second = send(end(first, FULL));
         assertNotEquals(first.upstream().id(), second.upstream().id());
         GatewayAction end = only(end(second, FULL));
@@ -63,7 +63,7 @@
 
     @Test
     void aNotRunVerdictNeverFollowsAnAttemptThatMayHaveRun() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.IDEMPOTENT));
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.IDEMPOTENT));
         GatewayAction.Send second = send(end(first, BROKEN));
         GatewayAction end = only(end(second, FULL));
         assertInstanceOf(
@@ -73,14 +73,14 @@
 
     @Test
     void noRequestReachesMoreUpstreamsThanItsRouteAllows() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.IDEMPOTENT));
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.IDEMPOTENT));
         GatewayAction.Send second = send(end(first, BROKEN));
         assertInstanceOf(GatewayAction.Refuse.class, only(end(second, BROKEN)));
     }
 
     @Test
     void anUnreachableUpstreamDoesNotCountAsAnAttempt() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.ONCE));
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
         GatewayAction.Send second = send(end(first, new AttemptOutcome.Unreached()));
         GatewayAction.Send third = send(end(second, new AttemptOutcome.Unreached()));
         assertInstanceOf(GatewayAction.Deliver.class, only(end(third, new AttemptOutcome.Completed(200))));
@@ -88,13 +88,13 @@
 
     @Test
     void anUpstreamFailureIsDeliveredIfTheRequestCannotBeRetried() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.ONCE));
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
         assertInstanceOf(GatewayAction.Deliver.class, only(end(first, new AttemptOutcome.Failed(500))));
     }
 
     @Test
     void aBrokenStreamIsResumedOrElseAborted() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.RESUMABLE));
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
         on(new GatewayEvent.ResponseProgress(first.attempt(), true));
         GatewayAction.Send second = send(end(first, BROKEN));
         assertInstanceOf(GatewayAction.AbortResponse.class, only(end(second, BROKEN)));
@@ -102,7 +102,7 @@
 
     @Test
     void theDeadlineEndsARequestAndCancelsItsAttempt() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.ONCE));
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
         nowMs += 4000;
         List<GatewayAction> out = on(new GatewayEvent.Tick());
         assertEquals(new GatewayAction.Cancel(first.attempt()), out.getFirst());
@@ -115,21 +115,24 @@
     void aDrainingUpstreamReceivesNoNewRequests() {
         on(new GatewayEvent.UpstreamsUpdated(List.of(upstream("a", true), upstream("b", false), upstream("c", true))));
         for (int i = 1; i <= 20; i++) {
-            assertEquals("b", send(arrive(i, Route.Repeat.ONCE)).upstream().id());
+            assertEquals(
+                    "b",
+                    send(arrive(i, Route.RetrySafety.AT_MOST_ONCE)).upstream().id());
         }
     }
 
     @Test
     void withoutUpstreamsARequestIsRefusedImmediatelyWithARetryDelay() {
         on(new GatewayEvent.UpstreamsUpdated(List.of()));
-        GatewayAction.Refuse r = assertInstanceOf(GatewayAction.Refuse.class, only(arrive(1, Route.Repeat.ONCE)));
+        GatewayAction.Refuse r =
+                assertInstanceOf(GatewayAction.Refuse.class, only(arrive(1, Route.RetrySafety.AT_MOST_ONCE)));
         Verdict.NotRun v = assertInstanceOf(Verdict.NotRun.class, r.verdict());
         assertTrue(v.retryAfter().toMillis() > 0 && v.retryAfter().toMillis() <= 4000 / 3, "" + v.retryAfter());
     }
 
     @Test
     void aRejectionByABrokenGroupIsNotRetriedOnOtherMembers() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.RESUMABLE));
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
         assertEquals(List.of(DOWN), end(first, GROUP_BROKEN), "the request waits for the group");
         nowMs += 1400;
         GatewayAction.Refuse r = assertInstanceOf(GatewayAction.Refuse.class, only(on(new GatewayEvent.Tick())));
@@ -139,11 +142,11 @@
 
     @Test
     void aBrokenGroupIsProbedByFewRequestsWhileOthersWait() {
-        end(send(arrive(1, Route.Repeat.RESUMABLE)), GROUP_BROKEN);
+        end(send(arrive(1, Route.RetrySafety.RESUMABLE)), GROUP_BROKEN);
         int sent = 0;
         for (int id = 2; id <= 101; id++) {
             nowMs += 10;
-            for (GatewayAction a : arrive(id, Route.Repeat.RESUMABLE)) {
+            for (GatewayAction a : arrive(id, Route.RetrySafety.RESUMABLE)) {
                 sent++;
                 end(assertInstanceOf(GatewayAction.Send.class, a), GROUP_BROKEN);
             }
@@ -153,13 +156,13 @@
 
     @Test
     void waitingRequestsAreSentMostUrgentFirstWhenTheGroupRecovers() {
-        end(send(arrive(1, Route.Repeat.RESUMABLE, 2)), GROUP_BROKEN);
+        end(send(arrive(1, Route.RetrySafety.RESUMABLE, 2)), GROUP_BROKEN);
         nowMs += 10;
-        GatewayAction.Send probe = send(arrive(2, Route.Repeat.RESUMABLE, 2));
-        assertEquals(List.of(), arrive(3, Route.Repeat.RESUMABLE, 2));
+        GatewayAction.Send probe = send(arrive(2, Route.RetrySafety.RESUMABLE, 2));
+        assertEquals(List.of(), arrive(3, Route.RetrySafety.RESUMABLE, 2));
         nowMs += 20;
-        assertEquals(List.of(), arrive(4, Route.Repeat.RESUMABLE, 2));
-        assertEquals(List.of(), arrive(5, Route.Repeat.RESUMABLE, 0));
+        assertEquals(List.of(), arrive(4, Route.RetrySafety.RESUMABLE, 2));
+        assertEquals(List.of(), arrive(5, Route.RetrySafety.RESUMABLE, 0));
         List<GatewayAction> out = on(new GatewayEvent.ResponseProgress(probe.attempt(), true));
         assertEquals(new GatewayAction.GroupStateChanged("s", false, 4), out.getFirst());
         List<Long> order = out.stream()
@@ -172,27 +175,28 @@
 
     @Test
     void aMemberOfABrokenGroupIsAvoidedWhileOthersOfItsServiceRespond() {
-        GatewayAction.Send active = send(arrive(1, Route.Repeat.RESUMABLE));
-        GatewayAction.Send rejected = send(arrive(2, Route.Repeat.RESUMABLE));
+        GatewayAction.Send active = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        GatewayAction.Send rejected = send(arrive(2, Route.RetrySafety.RESUMABLE));
         on(new GatewayEvent.ResponseProgress(active.attempt(), true));
         GatewayAction.Send elsewhere = send(end(rejected, GROUP_BROKEN));
         assertNotEquals(rejected.upstream().id(), elsewhere.upstream().id());
         for (int id = 3; id <= 8; id++) {
             assertNotEquals(
                     rejected.upstream().id(),
-                    send(arrive(id, Route.Repeat.RESUMABLE)).upstream().id());
+                    send(arrive(id, Route.RetrySafety.RESUMABLE)).upstream().id());
         }
     }
 
     @Test
     void requestsAreRefusedInsteadOfQueuedInALongOutage() {
-        assertEquals(List.of(DOWN), end(send(arrive(1, Route.Repeat.RESUMABLE)), GROUP_BROKEN));
+        assertEquals(List.of(DOWN), end(send(arrive(1, Route.RetrySafety.RESUMABLE)), GROUP_BROKEN));
         nowMs += 1500;
         on(new GatewayEvent.Tick());
         nowMs += 8000;
-        GatewayAction.Send probe = send(arrive(2, Route.Repeat.RESUMABLE));
+        GatewayAction.Send probe = send(arrive(2, Route.RetrySafety.RESUMABLE));
         assertInstanceOf(GatewayAction.Refuse.class, only(end(probe, GROUP_BROKEN)));
-        GatewayAction.Refuse r = assertInstanceOf(GatewayAction.Refuse.class, only(arrive(3, Route.Repeat.RESUMABLE)));
+        GatewayAction.Refuse r =
+                assertInstanceOf(GatewayAction.Refuse.class, only(arrive(3, Route.RetrySafety.RESUMABLE)));
         assertInstanceOf(Verdict.NotRun.class, r.verdict());
     }
 
@@ -201,19 +205,19 @@
         for (int id = 1; id <= 5; id++) {
             assertEquals(3, send(arriveLate(id)).admissionRank());
         }
-        assertEquals(0, send(arrive(6, Route.Repeat.RESUMABLE)).admissionRank());
+        assertEquals(0, send(arrive(6, Route.RetrySafety.RESUMABLE)).admissionRank());
     }
 
     @Test
     void afterAnOutagePendingLateRequestsAreLimited() {
-        end(send(arrive(10, Route.Repeat.RESUMABLE)), GROUP_BROKEN);
+        end(send(arrive(10, Route.RetrySafety.RESUMABLE)), GROUP_BROKEN);
         nowMs += 10;
-        GatewayAction.Send probe = send(arrive(11, Route.Repeat.RESUMABLE));
+        GatewayAction.Send probe = send(arrive(11, Route.RetrySafety.RESUMABLE));
         on(new GatewayEvent.ResponseProgress(probe.attempt(), true));
         GatewayAction.Send first = send(arriveLate(1));
         GatewayAction.Send second = send(arriveLate(2));
         assertEquals(List.of(), arriveLate(3), "two late requests have not started");
-        send(arrive(4, Route.Repeat.RESUMABLE));
+        send(arrive(4, Route.RetrySafety.RESUMABLE));
         GatewayAction.Send third = send(on(new GatewayEvent.ResponseProgress(first.attempt(), true)));
         assertEquals(3, third.request().id());
         assertEquals(List.of(), arriveLate(5));
@@ -228,8 +232,8 @@
 
     @Test
     void longGapsTriggerSpeedQueriesAndASlowUpstreamIsAvoided() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.RESUMABLE));
-        GatewayAction.Send second = send(arrive(2, Route.Repeat.RESUMABLE));
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        GatewayAction.Send second = send(arrive(2, Route.RetrySafety.RESUMABLE));
         List<GatewayAction> actions = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             nowMs += 300;
@@ -251,15 +255,17 @@
                         .id());
         for (int id = 3; id <= 8; id++) {
             assertNotEquals(
-                    slow, send(arrive(id, Route.Repeat.RESUMABLE)).upstream().id());
+                    slow,
+                    send(arrive(id, Route.RetrySafety.RESUMABLE)).upstream().id());
         }
         on(new GatewayEvent.SpeedReported(slow, 1));
-        assertEquals(slow, send(arrive(9, Route.Repeat.RESUMABLE)).upstream().id());
+        assertEquals(
+                slow, send(arrive(9, Route.RetrySafety.RESUMABLE)).upstream().id());
     }
 
     @Test
     void shortGapsTriggerNoSpeedQueries() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.RESUMABLE));
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
         for (int i = 0; i < 50; i++) {
             nowMs += 60;
             assertEquals(List.of(), on(new GatewayEvent.ResponseProgress(first.attempt(), true)));
@@ -268,14 +274,14 @@
 
     @Test
     void aResponseToAnAttemptSentBeforeTheOutageDoesNotEndIt() {
-        GatewayAction.Send old = send(arrive(1, Route.Repeat.RESUMABLE));
-        end(send(arrive(2, Route.Repeat.RESUMABLE)), GROUP_BROKEN);
+        GatewayAction.Send old = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        end(send(arrive(2, Route.RetrySafety.RESUMABLE)), GROUP_BROKEN);
         assertEquals(List.of(), on(new GatewayEvent.ResponseProgress(old.attempt(), true)));
     }
 
     @Test
     void aWaitingRequestIsRemovedWhenItsCallerDisconnects() {
-        end(send(arrive(1, Route.Repeat.RESUMABLE)), GROUP_BROKEN);
+        end(send(arrive(1, Route.RetrySafety.RESUMABLE)), GROUP_BROKEN);
         assertEquals(List.of(), on(new GatewayEvent.CallerDisconnected(1)));
         nowMs += 5000;
         assertEquals(List.of(), on(new GatewayEvent.Tick()));
@@ -284,7 +290,7 @@
 
     @Test
     void aStartedStreamIsAbortedImmediatelyWhenItsGroupBreaks() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.RESUMABLE));
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
         on(new GatewayEvent.ResponseProgress(first.attempt(), true));
         nowMs += 500;
         GatewayAction.Send second = send(end(first, BROKEN));
@@ -295,8 +301,8 @@
 
     @Test
     void aStalledStreamIsResumedElsewhereOnlyWhileOthersProgress() {
-        GatewayAction.Send stalled = send(arrive(1, Route.Repeat.RESUMABLE));
-        GatewayAction.Send active = send(arrive(2, Route.Repeat.RESUMABLE));
+        GatewayAction.Send stalled = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        GatewayAction.Send active = send(arrive(2, Route.RetrySafety.RESUMABLE));
         assertNotEquals(stalled.upstream().id(), active.upstream().id());
         nowMs += 1000;
         assertEquals(List.of(), on(new GatewayEvent.Tick()), "all streams are stalled: the whole group pauses");
@@ -310,7 +316,8 @@
     void requestsSpreadEvenlyOverEqualUpstreams() {
         List<String> chosen = new ArrayList<>();
         for (int i = 1; i <= 30; i++) {
-            chosen.add(send(arrive(i, Route.Repeat.ONCE)).upstream().id());
+            chosen.add(
+                    send(arrive(i, Route.RetrySafety.AT_MOST_ONCE)).upstream().id());
         }
         for (String id : List.of("a", "b", "c")) {
             assertEquals(10, chosen.stream().filter(id::equals).count(), "upstream " + id);
@@ -320,40 +327,40 @@
     @Test
     void aFailingUpstreamReceivesFewerRequests() {
         for (int i = 1; i <= 30; i++) {
-            GatewayAction.Send s = send(arrive(i, Route.Repeat.ONCE));
+            GatewayAction.Send s = send(arrive(i, Route.RetrySafety.AT_MOST_ONCE));
             end(s, s.upstream().id().equals("a") ? BROKEN : new AttemptOutcome.Completed(200));
         }
         int toFailing = 0;
         for (int i = 31; i <= 60; i++) {
-            GatewayAction.Send s = send(arrive(i, Route.Repeat.ONCE));
+            GatewayAction.Send s = send(arrive(i, Route.RetrySafety.AT_MOST_ONCE));
             toFailing += s.upstream().id().equals("a") ? 1 : 0;
         }
         assertTrue(toFailing <= 8, toFailing + " of 30 to the failing upstream");
     }
 
     private List<GatewayAction> arriveLate(long id) {
-        return arrive(id, Route.Repeat.RESUMABLE, 0, Duration.ofSeconds(1));
+        return arrive(id, Route.RetrySafety.RESUMABLE, 0, Duration.ofSeconds(1));
     }
 
-    private List<GatewayAction> arrive(long id, Route.Repeat repeat) {
-        return arrive(id, repeat, 0);
+    private List<GatewayAction> arrive(long id, Route.RetrySafety retrySafety) {
+        return arrive(id, retrySafety, 0);
     }
 
-    private List<GatewayAction> arrive(long id, Route.Repeat repeat, int rank) {
-        return arrive(id, repeat, rank, Duration.ZERO);
+    private List<GatewayAction> arrive(long id, Route.RetrySafety retrySafety, int rank) {
+        return arrive(id, retrySafety, rank, Duration.ZERO);
     }
 
-    private List<GatewayAction> arrive(long id, Route.Repeat repeat, int rank, Duration waited) {
+    private List<GatewayAction> arrive(long id, Route.RetrySafety retrySafety, int rank, Duration waited) {
         Route route = new Route(
                 "r",
                 "h",
                 "/",
                 List.of(new Route.Split("s", 1)),
-                repeat,
-                repeat == Route.Repeat.RESUMABLE,
+                retrySafety,
+                retrySafety == Route.RetrySafety.RESUMABLE,
                 Duration.ofSeconds(4),
                 Duration.ofMillis(300),
-                repeat == Route.Repeat.RESUMABLE ? Duration.ofMillis(120) : Duration.ZERO,
+                retrySafety == Route.RetrySafety.RESUMABLE ? Duration.ofMillis(120) : Duration.ZERO,
                 2,
                 0,
                 false);
--- a/core/src/test/java/org/citrontide/core/gateway/GroupOutageLoadTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/GroupOutageLoadTest.java
@@ -187,7 +187,7 @@
                     "h",
                     "/",
                     List.of(new Route.Split("s", 1)),
-                    Route.Repeat.RESUMABLE,
+                    Route.RetrySafety.RESUMABLE,
                     true,
                     Duration.ofMillis(DEADLINE_MS),
                     Duration.ofMillis(TARGET_MS),
--- a/core/src/test/java/org/citrontide/core/routes/RoutingTableTest.java
+++ b/core/src/test/java/org/citrontide/core/routes/RoutingTableTest.java
@@ -11,7 +11,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Checks the choice of routes and services. */
+/** Checks the selection of routes and services. */
 final class RoutingTableTest {
     private final RoutingTable table = new RoutingTable(
             7,
@@ -21,31 +21,31 @@
             Optional.of(Map.of("k1", new Team("rangers", Optional.empty()))));
 
     @Test
-    void theLongestPrefixThatBeginsThePathWins() {
+    void theRouteWithTheLongestMatchingPrefixIsSelected() {
         assertEquals("long", name("/a/b/c?x=/a/"));
         assertEquals("short", name("/a/bc"));
     }
 
     @Test
-    void aPathShortOfThePrefixOrOnAnotherHostHasNoRoute() {
+    void aPathWithoutAMatchingPrefixOrOnAnotherHostHasNoRoute() {
         assertTrue(table.find("h.example", "/a").isEmpty());
         assertTrue(table.find("h.example", "/b/?/a/").isEmpty());
         assertTrue(table.find("other.example", "/a/").isEmpty());
     }
 
     @Test
-    void theHostIsTakenWithoutItsPortAndCase() {
+    void theHostMatchesWithoutItsPortAndCase() {
         assertTrue(table.find("H.Example:80", "/a/").isPresent());
     }
 
     @Test
-    void splitsAreTakenInProportion() {
+    void splitsAreSelectedInProportionToTheirWeights() {
         Route r = new Route(
                 "r",
                 "h",
                 "/",
                 List.of(new Route.Split("x", 90), new Route.Split("y", 10), new Route.Split("z", 0)),
-                Route.Repeat.ONCE,
+                Route.RetrySafety.AT_MOST_ONCE,
                 false,
                 Duration.ofSeconds(1),
                 Duration.ofSeconds(1),
@@ -60,13 +60,13 @@
     }
 
     @Test
-    void aKeyThatNoTeamHoldsFindsNone() {
+    void anUnknownKeyBelongsToNoTeam() {
         assertEquals("rangers", table.team("k1").orElseThrow().name());
         assertTrue(table.team("k2").isEmpty());
     }
 
     @Test
-    void aRouteWithoutServiceOrWithAnOpenPrefixIsNone() {
+    void aPrefixWithoutATrailingSlashIsInvalid() {
         assertThrows(IllegalArgumentException.class, () -> route("bad", "/a"));
     }
 
@@ -80,7 +80,7 @@
                 "h.example",
                 prefix,
                 List.of(new Route.Split("s", 1)),
-                Route.Repeat.IDEMPOTENT,
+                Route.RetrySafety.IDEMPOTENT,
                 false,
                 Duration.ofSeconds(4),
                 Duration.ofMillis(300),
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
@@ -243,8 +243,9 @@
 
     private void send(GatewayAction.Send s) {
         OpenExchange e = open.get(s.request().id());
-        OptionalLong resumeAfter =
-                s.request().route().repeat() == Route.Repeat.RESUMABLE ? e.events.lastId() : OptionalLong.empty();
+        OptionalLong resumeAfter = s.request().route().retrySafety() == Route.RetrySafety.RESUMABLE
+                ? e.events.lastId()
+                : OptionalLong.empty();
         e.events.dropRest();
         e.attempts++;
         e.waited = e.waited.or(() -> Optional.of(Duration.ofNanos(age(e))));
@@ -256,7 +257,7 @@
                 Optional.ofNullable(e.caller.headers().get(PlatformHeaders.ATTEMPT_ID))
                         .orElse(""),
                 route.streaming(),
-                !route.isRepeatable());
+                !route.isRetryable());
         e.attempt = Optional.of(a);
         byAttempt.put(a.number(), e);
         metrics.attempt(s.request().service());
--- a/gateway/src/main/java/org/citrontide/gateway/maps/MapShell.java
+++ b/gateway/src/main/java/org/citrontide/gateway/maps/MapShell.java
@@ -77,7 +77,7 @@
      */
     public void configured(RoutingTable table) {
         for (ServiceProfile s : table.services().values()) {
-            s.engine().filter(e -> e.sets() > 0).ifPresent(e -> control(s.name(), e));
+            s.engine().filter(e -> e.expertSets() > 0).ifPresent(e -> control(s.name(), e));
         }
         controllers.keySet().forEach(s -> handle(s, new MapEvent.Targeted(table.targetGap(s))));
     }
