--- a/core/src/main/java/org/citrontide/core/gateway/UpstreamState.java
+++ b/core/src/main/java/org/citrontide/core/gateway/UpstreamState.java
@@ -65,7 +65,7 @@
         return hasPause && nowNanos < pausedUntilNanos;
     }
 
-    /** Estimates the cost of one more request, in units of the latency of a single request on a slot. */
+    /** Estimates the cost of one more request, in units of the mean latency of a single request on a slot. */
     double cost(double baselineLatencyMs, long nowNanos) {
         double relativeLatency = hasLatency && baselineLatencyMs > 0 ? Math.max(1, latencyMs / baselineLatencyMs) : 1;
         // Squared because a slow member also delays the other members of its group.
