--- a/core/src/main/java/org/citrontide/core/expertmap/GroupMapController.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/GroupMapController.java
@@ -247,7 +247,7 @@
         }
         long inForce = versions.iterator().next();
         if (inForce == 0) {
-            current = Optional.of(GroupMap.initial(profile.sets(), profile.experts(), ranks.size()));
+            current = Optional.of(GroupMap.initial(profile.expertSets(), profile.expertsPerSet(), ranks.size()));
         }
         if (current.isPresent() && current.get().version() == inForce) {
             startSampling(Duration.ZERO, context);
@@ -291,7 +291,7 @@
         expertsByRank.put(rank, e.experts().get());
         if (expertsByRank.size() == ranks.size()) {
             current = Optional.of(
-                    GroupMap.fromRanks(e.version(), List.copyOf(expertsByRank.values()), profile.experts()));
+                    GroupMap.fromRanks(e.version(), List.copyOf(expertsByRank.values()), profile.expertsPerSet()));
             startSampling(Duration.ZERO, context);
         }
     }
@@ -407,7 +407,7 @@
         context.log("map-change-begun", d.describe(map, from));
         enterPhase(Phase.CHANGING, context);
         next = Optional.of(map);
-        Duration copy = profile.copyTime(map.maxNewExpertsPerRank(from));
+        Duration copy = profile.expertCopyTime(map.maxNewExpertsPerRank(from));
         change = Optional.of(GroupMapChange.begin(ranks, epoch, passEstimator, roundTimeEstimator, map, copy, context));
     }
 
--- a/core/src/main/java/org/citrontide/core/expertmap/RebalancePolicy.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RebalancePolicy.java
@@ -27,7 +27,7 @@
 
     RebalancePolicy(EngineProfile profile, long nowNanos) {
         this.profile = profile;
-        this.demand = new DemandEstimator(profile.sets(), profile.experts());
+        this.demand = new DemandEstimator(profile.expertSets(), profile.expertsPerSet());
         this.lastShiftNanos = nowNanos;
         this.parameters = RebalanceParameters.select(Duration.ZERO, Duration.ZERO, false);
     }
@@ -69,7 +69,7 @@
 
     /** Records the cumulative counts of a rank; returns false if their length does not fit the profile. */
     boolean recordCounts(int rank, long[] counts) {
-        if (counts.length != profile.sets() * profile.experts()) {
+        if (counts.length != profile.expertSets() * profile.expertsPerSet()) {
             return false;
         }
         demand.recordCounts(rank, counts);
@@ -95,8 +95,8 @@
         if (current.skew(loads) < parameters.minSkew()) {
             return Optional.empty();
         }
-        return Optional.of(
-                new MapAction.SearchMap(current, loads, profile.newPerPrepare(), newVersion, parameters.minStepGain()));
+        return Optional.of(new MapAction.SearchMap(
+                current, loads, profile.maxNewExpertsPerPrepare(), newVersion, parameters.minStepGain()));
     }
 
     /** Returns true if the map found saves enough expert time per pass to be activated. */
@@ -114,6 +114,6 @@
     }
 
     private List<RankLoads> loads() {
-        return demand.loads(speeds, profile.placesPerRank());
+        return demand.loads(speeds, profile.maxExpertsPerRank());
     }
 }
--- a/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherTest.java
@@ -18,40 +18,41 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Plays the faults of upstreams against the promises made to callers. */
+/** Checks the handling of upstream faults, group outages and slow upstreams. */
 final class GatewayDispatcherTest {
     private static final long MS = 1_000_000;
     private static final AttemptOutcome FULL =
             new AttemptOutcome.Rejected(AttemptOutcome.Rejected.Cause.FULL, Optional.empty());
     private static final AttemptOutcome GROUP_BROKEN =
             new AttemptOutcome.Rejected(AttemptOutcome.Rejected.Cause.GROUP_BROKEN, Optional.empty());
-    private static final GatewayAction DOWN = new GatewayAction.GroupNoted("s", true, 0);
+    private static final GatewayAction DOWN = new GatewayAction.GroupStateChanged("s", true, 0);
     private static final AttemptOutcome BROKEN = new AttemptOutcome.Broken(Reason.CONNECTION_LOST);
 
     private final GatewayDispatcher dispatcher = new GatewayDispatcher(
             "z1",
-            () -> new RepeatAllowance(0.2, Duration.ofSeconds(10), new SlackShare(12 * 3)),
+            () -> new GatewayRetryBudget(0.2, Duration.ofSeconds(10), new RetrySlackShare(12 * 3)),
             new SplittableRandom(1));
-    // Upstreams count as lively for a moment after they were listed.
+    // Upstreams count as active for a short time after they were listed.
     private long nowMs = 1000;
 
     @BeforeEach
     void list() {
-        on(new GatewayEvent.Listed(List.of(upstream("a", false), upstream("b", false), upstream("c", false))));
+        on(new GatewayEvent.UpstreamsUpdated(
+                List.of(upstream("a", false), upstream("b", false), upstream("c", false))));
         nowMs += 500;
     }
 
     @Test
-    void aRequestThatRunsOnceIsNotSentAgainAfterItMayHaveRun() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.ONCE));
+    void anAtMostOnceRequestIsNotRetriedAfterItMayHaveRun() {
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
         GatewayAction end = only(end(first, BROKEN));
         Verdict v = assertInstanceOf(GatewayAction.Refuse.class, end).verdict();
         assertEquals(new Verdict.MayHaveRun(Reason.CONNECTION_LOST), v);
     }
 
     @Test
-    void aRequestThatRunsOnceIsSentElsewhereAfterItCertainlyDidNotRun() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.ONCE));
+    void anAtMostOnceRequestIsRetriedElsewhereAfterARejection() {
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
         GatewayAction.Send second = send(end(first, FULL));
         assertNotEquals(first.upstream().id(), second.upstream().id());
         GatewayAction end = only(end(second, FULL));
@@ -61,8 +62,8 @@
     }
 
     @Test
-    void aRefusalNeverFollowsAnAttemptThatMayHaveRun() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.IDEMPOTENT));
+    void aNotRunVerdictNeverFollowsAnAttemptThatMayHaveRun() {
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.IDEMPOTENT));
         GatewayAction.Send second = send(end(first, BROKEN));
         GatewayAction end = only(end(second, FULL));
         assertInstanceOf(
@@ -72,36 +73,36 @@
 
     @Test
     void noRequestReachesMoreUpstreamsThanItsRouteAllows() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.IDEMPOTENT));
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.IDEMPOTENT));
         GatewayAction.Send second = send(end(first, BROKEN));
         assertInstanceOf(GatewayAction.Refuse.class, only(end(second, BROKEN)));
     }
 
     @Test
-    void anUpstreamThatCouldNotBeReachedCountsAsNoAttempt() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.ONCE));
+    void anUnreachableUpstreamDoesNotCountAsAnAttempt() {
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
         GatewayAction.Send second = send(end(first, new AttemptOutcome.Unreached()));
         GatewayAction.Send third = send(end(second, new AttemptOutcome.Unreached()));
-        assertInstanceOf(GatewayAction.Deliver.class, only(end(third, new AttemptOutcome.Whole(200))));
+        assertInstanceOf(GatewayAction.Deliver.class, only(end(third, new AttemptOutcome.Completed(200))));
     }
 
     @Test
-    void aFailureOfTheUpstreamIsPassedOnIfItCannotBeRepeated() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.ONCE));
+    void anUpstreamFailureIsDeliveredIfTheRequestCannotBeRetried() {
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
         assertInstanceOf(GatewayAction.Deliver.class, only(end(first, new AttemptOutcome.Failed(500))));
     }
 
     @Test
-    void aStreamThatBreaksIsResumedAndOneThatCannotBeEndsBroken() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.RESUMABLE));
-        on(new GatewayEvent.Progress(first.attempt(), true));
+    void aBrokenStreamIsResumedOrElseAborted() {
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        on(new GatewayEvent.ResponseProgress(first.attempt(), true));
         GatewayAction.Send second = send(end(first, BROKEN));
-        assertInstanceOf(GatewayAction.BreakOff.class, only(end(second, BROKEN)));
+        assertInstanceOf(GatewayAction.AbortResponse.class, only(end(second, BROKEN)));
     }
 
     @Test
-    void theDeadlineEndsARequestAtOnceAndBreaksItsAttemptOff() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.ONCE));
+    void theDeadlineEndsARequestAndCancelsItsAttempt() {
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
         nowMs += 4000;
         List<GatewayAction> out = on(new GatewayEvent.Tick());
         assertEquals(new GatewayAction.Cancel(first.attempt()), out.getFirst());
@@ -111,25 +112,28 @@
     }
 
     @Test
-    void aDrainingUpstreamGetsNoNewWork() {
-        on(new GatewayEvent.Listed(List.of(upstream("a", true), upstream("b", false), upstream("c", true))));
+    void aDrainingUpstreamReceivesNoNewRequests() {
+        on(new GatewayEvent.UpstreamsUpdated(List.of(upstream("a", true), upstream("b", false), upstream("c", true))));
         for (int i = 1; i <= 20; i++) {
-            assertEquals("b", send(arrive(i, Route.Repeat.ONCE)).upstream().id());
+            assertEquals(
+                    "b",
+                    send(arrive(i, Route.RetrySafety.AT_MOST_ONCE)).upstream().id());
         }
     }
 
     @Test
-    void withoutAnUpstreamARequestIsRefusedAtOnceWithATimeToComeBack() {
-        on(new GatewayEvent.Listed(List.of()));
-        GatewayAction.Refuse r = assertInstanceOf(GatewayAction.Refuse.class, only(arrive(1, Route.Repeat.ONCE)));
+    void withoutUpstreamsARequestIsRefusedImmediatelyWithARetryDelay() {
+        on(new GatewayEvent.UpstreamsUpdated(List.of()));
+        GatewayAction.Refuse r =
+                assertInstanceOf(GatewayAction.Refuse.class, only(arrive(1, Route.RetrySafety.AT_MOST_ONCE)));
         Verdict.NotRun v = assertInstanceOf(Verdict.NotRun.class, r.verdict());
         assertTrue(v.retryAfter().toMillis() > 0 && v.retryAfter().toMillis() <= 4000 / 3, "" + v.retryAfter());
     }
 
     @Test
-    void aBrokenGroupIsNotTriedMemberByMember() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.RESUMABLE));
-        assertEquals(List.of(DOWN), end(first, GROUP_BROKEN), "it waits for the group");
+    void aRejectionByABrokenGroupIsNotRetriedOnOtherMembers() {
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        assertEquals(List.of(DOWN), end(first, GROUP_BROKEN), "the request waits for the group");
         nowMs += 1400;
         GatewayAction.Refuse r = assertInstanceOf(GatewayAction.Refuse.class, only(on(new GatewayEvent.Tick())));
         assertInstanceOf(Verdict.NotRun.class, r.verdict());
@@ -137,12 +141,12 @@
     }
 
     @Test
-    void aBrokenGroupIsAskedByFewRequestsAndTheOthersWait() {
-        end(send(arrive(1, Route.Repeat.RESUMABLE)), GROUP_BROKEN);
+    void aBrokenGroupIsProbedByFewRequestsWhileOthersWait() {
+        end(send(arrive(1, Route.RetrySafety.RESUMABLE)), GROUP_BROKEN);
         int sent = 0;
         for (int id = 2; id <= 101; id++) {
             nowMs += 10;
-            for (GatewayAction a : arrive(id, Route.Repeat.RESUMABLE)) {
+            for (GatewayAction a : arrive(id, Route.RetrySafety.RESUMABLE)) {
                 sent++;
                 end(assertInstanceOf(GatewayAction.Send.class, a), GROUP_BROKEN);
             }
@@ -151,16 +155,16 @@
     }
 
     @Test
-    void waitingRequestsAreSentMostUrgentFirstAsSoonAsTheGroupAnswers() {
-        end(send(arrive(1, Route.Repeat.RESUMABLE, 2)), GROUP_BROKEN);
+    void waitingRequestsAreSentMostUrgentFirstWhenTheGroupRecovers() {
+        end(send(arrive(1, Route.RetrySafety.RESUMABLE, 2)), GROUP_BROKEN);
         nowMs += 10;
-        GatewayAction.Send probe = send(arrive(2, Route.Repeat.RESUMABLE, 2));
-        assertEquals(List.of(), arrive(3, Route.Repeat.RESUMABLE, 2));
+        GatewayAction.Send probe = send(arrive(2, Route.RetrySafety.RESUMABLE, 2));
+        assertEquals(List.of(), arrive(3, Route.RetrySafety.RESUMABLE, 2));
         nowMs += 20;
-        assertEquals(List.of(), arrive(4, Route.Repeat.RESUMABLE, 2));
-        assertEquals(List.of(), arrive(5, Route.Repeat.RESUMABLE, 0));
-        List<GatewayAction> out = on(new GatewayEvent.Progress(probe.attempt(), true));
-        assertEquals(new GatewayAction.GroupNoted("s", false, 4), out.getFirst());
+        assertEquals(List.of(), arrive(4, Route.RetrySafety.RESUMABLE, 2));
+        assertEquals(List.of(), arrive(5, Route.RetrySafety.RESUMABLE, 0));
+        List<GatewayAction> out = on(new GatewayEvent.ResponseProgress(probe.attempt(), true));
+        assertEquals(new GatewayAction.GroupStateChanged("s", false, 4), out.getFirst());
         List<Long> order = out.stream()
                 .skip(1)
                 .map(a ->
@@ -170,53 +174,54 @@
     }
 
     @Test
-    void aMemberOfABrokenGroupIsLeftAloneWhileOthersOfItsServiceAnswer() {
-        GatewayAction.Send lively = send(arrive(1, Route.Repeat.RESUMABLE));
-        GatewayAction.Send rejected = send(arrive(2, Route.Repeat.RESUMABLE));
-        on(new GatewayEvent.Progress(lively.attempt(), true));
+    void aMemberOfABrokenGroupIsAvoidedWhileOthersOfItsServiceRespond() {
+        GatewayAction.Send active = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        GatewayAction.Send rejected = send(arrive(2, Route.RetrySafety.RESUMABLE));
+        on(new GatewayEvent.ResponseProgress(active.attempt(), true));
         GatewayAction.Send elsewhere = send(end(rejected, GROUP_BROKEN));
         assertNotEquals(rejected.upstream().id(), elsewhere.upstream().id());
         for (int id = 3; id <= 8; id++) {
             assertNotEquals(
                     rejected.upstream().id(),
-                    send(arrive(id, Route.Repeat.RESUMABLE)).upstream().id());
+                    send(arrive(id, Route.RetrySafety.RESUMABLE)).upstream().id());
         }
     }
 
     @Test
-    void anOutageThatLastsLongMakesNobodyWait() {
-        assertEquals(List.of(DOWN), end(send(arrive(1, Route.Repeat.RESUMABLE)), GROUP_BROKEN));
+    void requestsAreRefusedInsteadOfQueuedInALongOutage() {
+        assertEquals(List.of(DOWN), end(send(arrive(1, Route.RetrySafety.RESUMABLE)), GROUP_BROKEN));
         nowMs += 1500;
         on(new GatewayEvent.Tick());
         nowMs += 8000;
-        GatewayAction.Send probe = send(arrive(2, Route.Repeat.RESUMABLE));
+        GatewayAction.Send probe = send(arrive(2, Route.RetrySafety.RESUMABLE));
         assertInstanceOf(GatewayAction.Refuse.class, only(end(probe, GROUP_BROKEN)));
-        GatewayAction.Refuse r = assertInstanceOf(GatewayAction.Refuse.class, only(arrive(3, Route.Repeat.RESUMABLE)));
+        GatewayAction.Refuse r =
+                assertInstanceOf(GatewayAction.Refuse.class, only(arrive(3, Route.RetrySafety.RESUMABLE)));
         assertInstanceOf(Verdict.NotRun.class, r.verdict());
     }
 
     @Test
-    void withoutAnOutageLateRequestsAreSentAtOnceButBehindThoseThatCanBeOnTime() {
+    void withoutAnOutageLateRequestsAreSentImmediatelyWithALowerRank() {
         for (int id = 1; id <= 5; id++) {
             assertEquals(3, send(arriveLate(id)).admissionRank());
         }
-        assertEquals(0, send(arrive(6, Route.Repeat.RESUMABLE)).admissionRank());
+        assertEquals(0, send(arrive(6, Route.RetrySafety.RESUMABLE)).admissionRank());
     }
 
     @Test
-    void afterAnOutageLateRequestsAreSentOneAfterAnother() {
-        end(send(arrive(10, Route.Repeat.RESUMABLE)), GROUP_BROKEN);
+    void afterAnOutagePendingLateRequestsAreLimited() {
+        end(send(arrive(10, Route.RetrySafety.RESUMABLE)), GROUP_BROKEN);
         nowMs += 10;
-        GatewayAction.Send probe = send(arrive(11, Route.Repeat.RESUMABLE));
-        on(new GatewayEvent.Progress(probe.attempt(), true));
+        GatewayAction.Send probe = send(arrive(11, Route.RetrySafety.RESUMABLE));
+        on(new GatewayEvent.ResponseProgress(probe.attempt(), true));
         GatewayAction.Send first = send(arriveLate(1));
         GatewayAction.Send second = send(arriveLate(2));
-        assertEquals(List.of(), arriveLate(3), "two late ones have not begun");
-        send(arrive(4, Route.Repeat.RESUMABLE));
-        GatewayAction.Send third = send(on(new GatewayEvent.Progress(first.attempt(), true)));
+        assertEquals(List.of(), arriveLate(3), "two late requests have not started");
+        send(arrive(4, Route.RetrySafety.RESUMABLE));
+        GatewayAction.Send third = send(on(new GatewayEvent.ResponseProgress(first.attempt(), true)));
         assertEquals(3, third.request().id());
         assertEquals(List.of(), arriveLate(5));
-        List<GatewayAction> out = end(second, new AttemptOutcome.Whole(200));
+        List<GatewayAction> out = end(second, new AttemptOutcome.Completed(200));
         assertInstanceOf(GatewayAction.Deliver.class, out.getFirst());
         assertEquals(
                 5,
@@ -226,22 +231,22 @@
     }
 
     @Test
-    void whenPassesTakeTooLongUpstreamsAreAskedAndASlowOneIsLeft() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.RESUMABLE));
-        GatewayAction.Send second = send(arrive(2, Route.Repeat.RESUMABLE));
-        List<GatewayAction> asked = new ArrayList<>();
+    void longGapsTriggerSpeedQueriesAndASlowUpstreamIsAvoided() {
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        GatewayAction.Send second = send(arrive(2, Route.RetrySafety.RESUMABLE));
+        List<GatewayAction> actions = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             nowMs += 300;
-            asked.addAll(on(new GatewayEvent.Progress(first.attempt(), true)));
-            asked.addAll(on(new GatewayEvent.Progress(second.attempt(), true)));
-            if (!asked.isEmpty()) {
+            actions.addAll(on(new GatewayEvent.ResponseProgress(first.attempt(), true)));
+            actions.addAll(on(new GatewayEvent.ResponseProgress(second.attempt(), true)));
+            if (!actions.isEmpty()) {
                 break;
             }
         }
-        GatewayAction.AskSpeeds ask = assertInstanceOf(GatewayAction.AskSpeeds.class, only(asked));
-        assertEquals(3, ask.upstreams().size());
+        GatewayAction.QuerySpeeds query = assertInstanceOf(GatewayAction.QuerySpeeds.class, only(actions));
+        assertEquals(3, query.upstreams().size());
         String slow = first.upstream().id();
-        List<GatewayAction> out = on(new GatewayEvent.SpeedTold(slow, 4));
+        List<GatewayAction> out = on(new GatewayEvent.SpeedReported(slow, 4));
         assertEquals(new GatewayAction.Cancel(first.attempt()), out.getFirst());
         assertNotEquals(
                 slow,
@@ -250,66 +255,69 @@
                         .id());
         for (int id = 3; id <= 8; id++) {
             assertNotEquals(
-                    slow, send(arrive(id, Route.Repeat.RESUMABLE)).upstream().id());
+                    slow,
+                    send(arrive(id, Route.RetrySafety.RESUMABLE)).upstream().id());
         }
-        on(new GatewayEvent.SpeedTold(slow, 1));
-        assertEquals(slow, send(arrive(9, Route.Repeat.RESUMABLE)).upstream().id());
+        on(new GatewayEvent.SpeedReported(slow, 1));
+        assertEquals(
+                slow, send(arrive(9, Route.RetrySafety.RESUMABLE)).upstream().id());
     }
 
     @Test
-    void passesThatAreFastEnoughLeadToNoQuestions() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.RESUMABLE));
+    void shortGapsTriggerNoSpeedQueries() {
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
         for (int i = 0; i < 50; i++) {
             nowMs += 60;
-            assertEquals(List.of(), on(new GatewayEvent.Progress(first.attempt(), true)));
+            assertEquals(List.of(), on(new GatewayEvent.ResponseProgress(first.attempt(), true)));
         }
     }
 
     @Test
-    void anAnswerThatBeganBeforeTheGroupBrokeEndsNoOutage() {
-        GatewayAction.Send old = send(arrive(1, Route.Repeat.RESUMABLE));
-        end(send(arrive(2, Route.Repeat.RESUMABLE)), GROUP_BROKEN);
-        assertEquals(List.of(), on(new GatewayEvent.Progress(old.attempt(), true)));
+    void aResponseToAnAttemptSentBeforeTheOutageDoesNotEndIt() {
+        GatewayAction.Send old = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        end(send(arrive(2, Route.RetrySafety.RESUMABLE)), GROUP_BROKEN);
+        assertEquals(List.of(), on(new GatewayEvent.ResponseProgress(old.attempt(), true)));
     }
 
     @Test
-    void aWaitingRequestWhoseCallerLeavesIsForgotten() {
-        end(send(arrive(1, Route.Repeat.RESUMABLE)), GROUP_BROKEN);
-        assertEquals(List.of(), on(new GatewayEvent.CallerGone(1)));
+    void aWaitingRequestIsRemovedWhenItsCallerDisconnects() {
+        end(send(arrive(1, Route.RetrySafety.RESUMABLE)), GROUP_BROKEN);
+        assertEquals(List.of(), on(new GatewayEvent.CallerDisconnected(1)));
         nowMs += 5000;
         assertEquals(List.of(), on(new GatewayEvent.Tick()));
         assertEquals(0, dispatcher.openRequests());
     }
 
     @Test
-    void aStreamThatHasBegunIsBrokenOffAtOnceWhenItsGroupBreaks() {
-        GatewayAction.Send first = send(arrive(1, Route.Repeat.RESUMABLE));
-        on(new GatewayEvent.Progress(first.attempt(), true));
+    void aStartedStreamIsAbortedImmediatelyWhenItsGroupBreaks() {
+        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        on(new GatewayEvent.ResponseProgress(first.attempt(), true));
         nowMs += 500;
         GatewayAction.Send second = send(end(first, BROKEN));
         List<GatewayAction> out = end(second, GROUP_BROKEN);
         assertEquals(DOWN, out.getFirst());
-        assertInstanceOf(GatewayAction.BreakOff.class, out.getLast());
+        assertInstanceOf(GatewayAction.AbortResponse.class, out.getLast());
     }
 
     @Test
-    void aSilentStreamMovesOnOnlyWhileOthersGoOn() {
-        GatewayAction.Send silent = send(arrive(1, Route.Repeat.RESUMABLE));
-        GatewayAction.Send lively = send(arrive(2, Route.Repeat.RESUMABLE));
-        assertNotEquals(silent.upstream().id(), lively.upstream().id());
+    void aStalledStreamIsResumedElsewhereOnlyWhileOthersProgress() {
+        GatewayAction.Send stalled = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        GatewayAction.Send active = send(arrive(2, Route.RetrySafety.RESUMABLE));
+        assertNotEquals(stalled.upstream().id(), active.upstream().id());
         nowMs += 1000;
-        assertEquals(List.of(), on(new GatewayEvent.Tick()), "all are silent: the group pauses");
-        on(new GatewayEvent.Progress(lively.attempt(), true));
+        assertEquals(List.of(), on(new GatewayEvent.Tick()), "all streams are stalled: the whole group pauses");
+        on(new GatewayEvent.ResponseProgress(active.attempt(), true));
         List<GatewayAction> out = on(new GatewayEvent.Tick());
-        assertEquals(new GatewayAction.Cancel(silent.attempt()), out.getFirst());
+        assertEquals(new GatewayAction.Cancel(stalled.attempt()), out.getFirst());
         assertInstanceOf(GatewayAction.Send.class, out.getLast());
     }
 
     @Test
-    void requestsSpreadEvenlyOverUpstreamsAlike() {
+    void requestsSpreadEvenlyOverEqualUpstreams() {
         List<String> chosen = new ArrayList<>();
         for (int i = 1; i <= 30; i++) {
-            chosen.add(send(arrive(i, Route.Repeat.ONCE)).upstream().id());
+            chosen.add(
+                    send(arrive(i, Route.RetrySafety.AT_MOST_ONCE)).upstream().id());
         }
         for (String id : List.of("a", "b", "c")) {
             assertEquals(10, chosen.stream().filter(id::equals).count(), "upstream " + id);
@@ -317,55 +325,55 @@
     }
 
     @Test
-    void anUpstreamThatFailsGetsLessAndRecovers() {
+    void aFailingUpstreamReceivesFewerRequests() {
         for (int i = 1; i <= 30; i++) {
-            GatewayAction.Send s = send(arrive(i, Route.Repeat.ONCE));
-            end(s, s.upstream().id().equals("a") ? BROKEN : new AttemptOutcome.Whole(200));
+            GatewayAction.Send s = send(arrive(i, Route.RetrySafety.AT_MOST_ONCE));
+            end(s, s.upstream().id().equals("a") ? BROKEN : new AttemptOutcome.Completed(200));
         }
         int toFailing = 0;
         for (int i = 31; i <= 60; i++) {
-            GatewayAction.Send s = send(arrive(i, Route.Repeat.ONCE));
+            GatewayAction.Send s = send(arrive(i, Route.RetrySafety.AT_MOST_ONCE));
             toFailing += s.upstream().id().equals("a") ? 1 : 0;
         }
         assertTrue(toFailing <= 8, toFailing + " of 30 to the failing upstream");
     }
 
     private List<GatewayAction> arriveLate(long id) {
-        return arrive(id, Route.Repeat.RESUMABLE, 0, Duration.ofSeconds(1));
+        return arrive(id, Route.RetrySafety.RESUMABLE, 0, Duration.ofSeconds(1));
     }
 
-    private List<GatewayAction> arrive(long id, Route.Repeat repeat) {
-        return arrive(id, repeat, 0);
+    private List<GatewayAction> arrive(long id, Route.RetrySafety retrySafety) {
+        return arrive(id, retrySafety, 0);
     }
 
-    private List<GatewayAction> arrive(long id, Route.Repeat repeat, int rank) {
-        return arrive(id, repeat, rank, Duration.ZERO);
+    private List<GatewayAction> arrive(long id, Route.RetrySafety retrySafety, int rank) {
+        return arrive(id, retrySafety, rank, Duration.ZERO);
     }
 
-    private List<GatewayAction> arrive(long id, Route.Repeat repeat, int rank, Duration waited) {
+    private List<GatewayAction> arrive(long id, Route.RetrySafety retrySafety, int rank, Duration waited) {
         Route route = new Route(
                 "r",
                 "h",
                 "/",
                 List.of(new Route.Split("s", 1)),
-                repeat,
-                repeat == Route.Repeat.RESUMABLE,
+                retrySafety,
+                retrySafety == Route.RetrySafety.RESUMABLE,
                 Duration.ofSeconds(4),
                 Duration.ofMillis(300),
-                repeat == Route.Repeat.RESUMABLE ? Duration.ofMillis(120) : Duration.ZERO,
+                retrySafety == Route.RetrySafety.RESUMABLE ? Duration.ofMillis(120) : Duration.ZERO,
                 2,
                 0,
                 false);
-        return on(new GatewayEvent.Arrived(
+        return on(new GatewayEvent.RequestArrived(
                 new GatewayRequest(id, route, "s", "t", rank, 0, 0, waited, nowMs * MS, (nowMs + 4000) * MS)));
     }
 
     private List<GatewayAction> end(GatewayAction.Send s, AttemptOutcome outcome) {
-        return on(new GatewayEvent.Ended(s.attempt(), outcome));
+        return on(new GatewayEvent.AttemptEnded(s.attempt(), outcome));
     }
 
     private List<GatewayAction> on(GatewayEvent e) {
-        return dispatcher.on(e, nowMs * MS);
+        return dispatcher.handle(e, nowMs * MS);
     }
 
     private static GatewayAction.Send send(List<GatewayAction> out) {
