--- a/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
+++ b/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
@@ -29,7 +29,7 @@
 import org.citrontide.runtime.duty.Clock;
 import org.citrontide.runtime.duty.Duty;
 import org.citrontide.runtime.log.EventLog;
-import org.citrontide.runtime.log.LogBudget;
+import org.citrontide.runtime.log.LogRateLimiter;
 import org.citrontide.store.links.ProcessLinks;
 import org.citrontide.wire.codec.VerdictCodec;
 import org.citrontide.wire.generated.AnswerEnd;
@@ -64,7 +64,7 @@
     private final Map<UpstreamId, LinkEndpoint.Dialled> dialled = new HashMap<>();
     private final Map<UpstreamId, Link> links = new ConcurrentHashMap<>();
     private final Map<UpstreamId, SidecarReport> reports = new ConcurrentHashMap<>();
-    private final LogBudget logBudget = new LogBudget(LOG_LINES_PER_SECOND);
+    private final LogRateLimiter logBudget = new LogRateLimiter(LOG_LINES_PER_SECOND);
     private final AtomicLong nextRequest = new AtomicLong(1);
     private Function<InetSocketAddress, LinkEndpoint.Dialled> dial = a -> {
         throw new IllegalStateException("not started");
@@ -317,7 +317,7 @@
         Duration time = Duration.ofNanos(clock.nanos() - c.arrivedNanos());
         String service = c.service().map(ServiceFile::service).orElse("none");
         metrics.ended(service, c.team(), c.urgency(), verdict, time);
-        if (verdict instanceof Verdict.Completed || !logBudget.tryLine(clock.nanos())) {
+        if (verdict instanceof Verdict.Completed || !logBudget.tryAcquire(clock.nanos())) {
             return;
         }
         LOG.info("request-ended")
@@ -328,7 +328,7 @@
                 .with("verdict", verdict.headerValue())
                 .with("reason", EntryMetrics.reason(verdict))
                 .with("ms", time.toMillis())
-                .with("suppressed", logBudget.takeSuppressed())
+                .with("suppressed", logBudget.getAndResetSuppressed())
                 .write();
     }
 
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/RequestLog.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/RequestLog.java
@@ -9,7 +9,7 @@
 import org.citrontide.gateway.upstream.UpstreamAttempt;
 import org.citrontide.platform.PlatformHeaders;
 import org.citrontide.runtime.log.EventLog;
-import org.citrontide.runtime.log.LogBudget;
+import org.citrontide.runtime.log.LogRateLimiter;
 
 /**
  * Writes the lines on requests, within a bound for each second.
@@ -22,11 +22,11 @@
     // Ten times the requests of an ordinary second at one gateway; beyond it a sample tells as much.
     private static final int LINES_PER_SECOND = 100;
 
-    private final LogBudget ordinary = new LogBudget(LINES_PER_SECOND);
-    private final LogBudget trouble = new LogBudget(LINES_PER_SECOND);
+    private final LogRateLimiter ordinary = new LogRateLimiter(LINES_PER_SECOND);
+    private final LogRateLimiter trouble = new LogRateLimiter(LINES_PER_SECOND);
 
     void refusedByFilter(CallerRequest r, long version, Verdict verdict) {
-        if (trouble.tryLine(System.nanoTime())) {
+        if (trouble.tryAcquire(System.nanoTime())) {
             LOG.info("request-refused")
                     .with("id", id(r))
                     .with("target", r.target())
@@ -38,7 +38,7 @@
     }
 
     void sent(OpenExchange e, UpstreamAttempt a, Duration remaining) {
-        if (e.attempts > 1 && trouble.tryLine(System.nanoTime())) {
+        if (e.attempts > 1 && trouble.tryAcquire(System.nanoTime())) {
             LOG.info("attempt-repeated")
                     .with("id", id(e.caller))
                     .with("attempt", e.attempts)
@@ -52,7 +52,7 @@
     }
 
     void attemptEnded(OpenExchange e, UpstreamAttempt a, AttemptOutcome outcome) {
-        if (!(outcome instanceof AttemptOutcome.Whole) && trouble.tryLine(System.nanoTime())) {
+        if (!(outcome instanceof AttemptOutcome.Whole) && trouble.tryAcquire(System.nanoTime())) {
             LOG.info("attempt-failed")
                     .with("id", id(e.caller))
                     .with("service", e.request.service())
@@ -67,11 +67,11 @@
     }
 
     void ended(OpenExchange e, String outcome, String reason, long version) {
-        LogBudget budget = outcome.equals("delivered") ? ordinary : trouble;
-        if (!budget.tryLine(System.nanoTime())) {
+        LogRateLimiter budget = outcome.equals("delivered") ? ordinary : trouble;
+        if (!budget.tryAcquire(System.nanoTime())) {
             return;
         }
-        long left = ordinary.takeSuppressed() + trouble.takeSuppressed();
+        long left = ordinary.getAndResetSuppressed() + trouble.getAndResetSuppressed();
         EventLog.Line line = LOG.info("request-ended")
                 .with("id", id(e.caller))
                 .with("route", e.request.route().name())
--- a/runtime/src/main/java/org/citrontide/runtime/log/RingHandler.java
+++ b/runtime/src/main/java/org/citrontide/runtime/log/AsyncLogHandler.java
@@ -16,38 +16,38 @@
 import java.util.logging.LogRecord;
 
 /**
- * Writes log lines to standard output on a thread of its own, joined to all others by a bounded ring.
+ * Writes log lines to standard output on a dedicated thread, which reads from a bounded queue.
  *
- * <p>Invariant: no caller waits for the output; lines that find the ring full are counted and the count is written.
- * Safe for use by many threads.
+ * <p>Invariant: {@link #publish} never blocks on the output. Lines that arrive while the queue is full are dropped, and
+ * their number is logged with the next line. Thread-safe.
  */
-final class RingHandler extends Handler {
-    private static final int RING_SIZE = 4096;
-    private static final long FLUSH_WAIT_MS = 500;
+final class AsyncLogHandler extends Handler {
+    private static final int QUEUE_CAPACITY = 4096;
+    private static final long FLUSH_TIMEOUT_MS = 500;
     private static final long POLL_MS = 5;
 
-    private final BlockingQueue<LogRecord> ring = new ArrayBlockingQueue<>(RING_SIZE);
+    private final BlockingQueue<LogRecord> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private final AtomicLong dropped = new AtomicLong();
     private final OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out));
-    private volatile boolean writing;
+    private volatile boolean isWriting;
 
-    RingHandler(Formatter formatter) {
+    AsyncLogHandler(Formatter formatter) {
         setFormatter(formatter);
         setLevel(Level.ALL);
-        Thread.ofPlatform().daemon().name("log").start(this::writeAll);
+        Thread.ofPlatform().daemon().name("log").start(this::writeLoop);
     }
 
     @Override
     public void publish(LogRecord r) {
-        if (!ring.offer(r)) {
+        if (!queue.offer(r)) {
             dropped.incrementAndGet();
         }
     }
 
     @Override
     public void flush() {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FLUSH_WAIT_MS);
-        while ((!ring.isEmpty() || writing) && System.nanoTime() < end) {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FLUSH_TIMEOUT_MS);
+        while ((!queue.isEmpty() || isWriting) && System.nanoTime() < deadline) {
             try {
                 Thread.sleep(POLL_MS);
             } catch (InterruptedException e) {
@@ -62,22 +62,22 @@
         flush();
     }
 
-    private void writeAll() {
+    private void writeLoop() {
         try {
             while (true) {
-                LogRecord r = ring.take();
-                writing = true;
+                LogRecord r = queue.take();
+                isWriting = true;
                 write(r);
-                if (ring.isEmpty()) {
+                if (queue.isEmpty()) {
                     out.flush();
-                    writing = false;
+                    isWriting = false;
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            // Standard output is gone: there is nowhere to say so, and the process goes on serving.
-            writing = false;
+            // Standard output is closed, so the failure can't be logged. The process keeps serving without a log.
+            isWriting = false;
         }
     }
 
--- a/runtime/src/main/java/org/citrontide/runtime/log/EventLog.java
+++ b/runtime/src/main/java/org/citrontide/runtime/log/EventLog.java
@@ -3,9 +3,10 @@
 import org.jboss.logging.Logger;
 
 /**
- * Writes one line of key=value pairs for each event. Safe for use by many threads.
+ * Writes each event as one line of key=value pairs. Thread-safe.
  *
- * <p>Invariant: values are quoted where they hold a blank, a quote or a line break, so that one event is one line.
+ * <p>Invariant: a value that is empty or contains whitespace, a quote or an equals sign is quoted, and its line breaks
+ * are escaped, so that one event takes one line.
  */
 public final class EventLog {
     private final Logger logger;
@@ -15,57 +16,57 @@
     }
 
     /**
-     * Returns the log of a class.
+     * Returns the event log of a class.
      *
-     * @param type the class
-     * @return its log
+     * @param type the class whose name becomes the logger name
+     * @return the event log
      */
     public static EventLog of(Class<?> type) {
         return new EventLog(Logger.getLogger(type));
     }
 
     /**
-     * Starts a line on something that happens in the ordinary course.
+     * Starts a line at level INFO, for an event of normal operation.
      *
-     * @param event name of the event
-     * @return the line
+     * @param event the event name
+     * @return the line, which is written by {@link Line#write()}
      */
     public Line info(String event) {
         return new Line(Logger.Level.INFO, event, null);
     }
 
     /**
-     * Starts a line that is of use only in the search for a fault.
+     * Starts a line at level DEBUG, for an event that is useful only for troubleshooting.
      *
-     * @param event name of the event
-     * @return the line
+     * @param event the event name
+     * @return the line, which is written by {@link Line#write()}
      */
     public Line debug(String event) {
         return new Line(Logger.Level.DEBUG, event, null);
     }
 
     /**
-     * Starts a line on something that an operator should look at.
+     * Starts a line at level WARN, for an event that needs an operator's attention.
      *
-     * @param event name of the event
-     * @return the line
+     * @param event the event name
+     * @return the line, which is written by {@link Line#write()}
      */
     public Line warn(String event) {
         return new Line(Logger.Level.WARN, event, null);
     }
 
     /**
-     * Starts a line on a fault of this program.
+     * Starts a line at level ERROR, for an internal error of this program.
      *
-     * @param event name of the event
-     * @param cause what was thrown
-     * @return the line
+     * @param event the event name
+     * @param cause the exception, logged with its stack trace
+     * @return the line, which is written by {@link Line#write()}
      */
     public Line error(String event, Throwable cause) {
         return new Line(Logger.Level.ERROR, event, cause);
     }
 
-    /** One line in the making. Not thread-safe. */
+    /** Builds and writes one log line. Not thread-safe. */
     public final class Line {
         private final Logger.Level level;
         private final Throwable cause;
@@ -78,7 +79,7 @@
         }
 
         /**
-         * Adds a pair.
+         * Appends a key=value pair.
          *
          * @param key the key
          * @param value the value
@@ -89,7 +90,7 @@
             return this;
         }
 
-        /** Writes the line. */
+        /** Writes the line to the logger, with the cause as its last pair if there is one. */
         public void write() {
             if (cause != null) {
                 with("cause", cause);
@@ -98,8 +99,8 @@
         }
 
         private static String quoted(String v) {
-            boolean plain = !v.isEmpty() && v.chars().noneMatch(c -> c <= ' ' || c == '"' || c == '=');
-            if (plain) {
+            boolean isPlain = !v.isEmpty() && v.chars().noneMatch(c -> c <= ' ' || c == '"' || c == '=');
+            if (isPlain) {
                 return v;
             }
             return '"'
--- a/runtime/src/main/java/org/citrontide/runtime/log/LastingLogManager.java
+++ b/runtime/src/main/java/org/citrontide/runtime/log/LastingLogManager.java
@@ -3,17 +3,17 @@
 import java.util.logging.LogManager;
 
 /**
- * Keeps the log's handlers while the process stops, so that a graceful stop is logged to its end. Chosen by the
- * launcher with the property {@code java.util.logging.manager}. Safe for use by many threads.
+ * Keeps the log handlers installed during JVM shutdown, so that a graceful shutdown is logged until its end. The
+ * launcher selects this class with the system property {@code java.util.logging.manager}. Thread-safe.
  */
 public final class LastingLogManager extends LogManager {
-    /** Makes the manager; called by the JDK. */
+    /** Creates the log manager; called by the JDK. */
     public LastingLogManager() {
         // The JDK needs a public constructor.
     }
 
     @Override
     public void reset() {
-        // The JDK calls this from a shutdown hook that runs beside the graceful stop.
+        // Does nothing: the JDK calls this from a shutdown hook that runs concurrently with the graceful shutdown.
     }
 }
--- a/runtime/src/main/java/org/citrontide/runtime/log/LogSetup.java
+++ b/runtime/src/main/java/org/citrontide/runtime/log/LogSetup.java
@@ -7,30 +7,30 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Sends the log of this process to its standard output, one line an event. Safe for use by many threads. */
+/** Configures java.util.logging to write to standard output, one line per event. Thread-safe. */
 public final class LogSetup {
     private static final Logger ROOT = Logger.getLogger("");
 
     private LogSetup() {}
 
     /**
-     * Installs the line format.
+     * Replaces the handlers of the root logger and sets the log levels.
      *
-     * @param role what this process is
-     * @param vm name of its VM
-     * @param zone its availability zone
+     * @param role role of this process, written on each line
+     * @param vm name of the VM, written on each line
+     * @param zone availability zone of the VM, written on each line
      */
     public static void install(String role, String vm, String zone) {
         for (Handler h : ROOT.getHandlers()) {
             ROOT.removeHandler(h);
         }
-        ROOT.addHandler(new RingHandler(new PairFormatter(" role=" + role + " vm=" + vm + " zone=" + zone + " ")));
+        ROOT.addHandler(new AsyncLogHandler(new PairFormatter(" role=" + role + " vm=" + vm + " zone=" + zone + " ")));
         ROOT.setLevel(Level.INFO);
         Logger.getLogger("org.eclipse.jetty").setLevel(Level.WARNING);
         Logger.getLogger("io.netty").setLevel(Level.WARNING);
     }
 
-    /** Waits, for a bounded time, until the lines so far are written; called before the process ends. */
+    /** Waits, with a timeout, until the queued lines are written. To be called before the process exits. */
     public static void flush() {
         for (Handler h : ROOT.getHandlers()) {
             h.flush();
@@ -50,10 +50,10 @@
             String body = message.startsWith("event=") ? message : "event=library message=\"" + message + "\"";
             return "time=" + Instant.ofEpochMilli(r.getMillis()) + " level="
                     + r.getLevel().getName() + identity
-                    + body.replace('\n', ' ') + System.lineSeparator() + trace(r.getThrown());
+                    + body.replace('\n', ' ') + System.lineSeparator() + formatStackTrace(r.getThrown());
         }
 
-        private static String trace(Throwable t) {
+        private static String formatStackTrace(Throwable t) {
             if (t == null) {
                 return "";
             }
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
@@ -28,7 +28,7 @@
 import org.citrontide.runtime.duty.Clock;
 import org.citrontide.runtime.duty.Duty;
 import org.citrontide.runtime.log.EventLog;
-import org.citrontide.runtime.log.LogBudget;
+import org.citrontide.runtime.log.LogRateLimiter;
 import org.citrontide.sidecar.upstream.UpstreamCall;
 import org.citrontide.store.links.ProcessLinks;
 import org.citrontide.wire.codec.VerdictCodec;
@@ -65,7 +65,7 @@
     private final Map<AttemptKey, UpstreamCall> calls = new ConcurrentHashMap<>();
     private final Map<Long, Link> links = new HashMap<>();
     private final Map<Long, AttemptSequence> sequences = new HashMap<>();
-    private final LogBudget logBudget = new LogBudget(LOG_LINES_PER_SECOND);
+    private final LogRateLimiter logBudget = new LogRateLimiter(LOG_LINES_PER_SECOND);
     private final CountDownLatch drained = new CountDownLatch(1);
     private SidecarReport lastReport = new SidecarReport(false, 0, 0, 0, 0, 0);
     private long lastReportNanos;
@@ -277,12 +277,12 @@
                 Urgency.ofOrdinal(o.attempt().getUrgency()),
                 verdict,
                 Duration.ofNanos(clock.nanos() - o.arrivedNanos()));
-        if (!(verdict instanceof Verdict.Completed) && logBudget.tryLine(clock.nanos())) {
+        if (!(verdict instanceof Verdict.Completed) && logBudget.tryAcquire(clock.nanos())) {
             LOG.info("attempt-ended")
                     .with("request", o.attempt().getRequestId())
                     .with("team", o.attempt().getTeam())
                     .with("verdict", verdict)
-                    .with("suppressed", logBudget.takeSuppressed())
+                    .with("suppressed", logBudget.getAndResetSuppressed())
                     .write();
         }
     }
--- a/store/src/main/java/org/citrontide/store/links/ProcessLinks.java
+++ b/store/src/main/java/org/citrontide/store/links/ProcessLinks.java
@@ -1,7 +1,7 @@
 package org.citrontide.store.links;
 
 import org.citrontide.runtime.log.EventLog;
-import org.citrontide.runtime.log.LogBudget;
+import org.citrontide.runtime.log.LogRateLimiter;
 import org.citrontide.store.configuration.ConfigurationService;
 import org.citrontide.wire.generated.Frame;
 import org.citrontide.wire.generated.Heartbeat;
@@ -16,7 +16,7 @@
     private static final int LOG_LINES_PER_SECOND = 10;
     private static final EventLog LOG = EventLog.of(ProcessLinks.class);
 
-    private final LogBudget logBudget = new LogBudget(LOG_LINES_PER_SECOND);
+    private final LogRateLimiter logBudget = new LogRateLimiter(LOG_LINES_PER_SECOND);
     private final ConfigurationService configuration;
     private final RoleLinks role;
 
@@ -61,13 +61,13 @@
 
     @Override
     public void rejected(String address, LinkFault fault) {
-        if (!logBudget.tryLine(System.nanoTime())) {
+        if (!logBudget.tryAcquire(System.nanoTime())) {
             return;
         }
         LOG.warn("link-rejected")
                 .with("address", address)
                 .with("fault", fault.key())
-                .with("suppressed", logBudget.takeSuppressed())
+                .with("suppressed", logBudget.getAndResetSuppressed())
                 .write();
     }
 
