--- a/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
+++ b/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
@@ -27,7 +27,7 @@
 import org.citrontide.entry.http.CallerExchange;
 import org.citrontide.entry.http.EntryHandler;
 import org.citrontide.runtime.duty.Clock;
-import org.citrontide.runtime.duty.Duty;
+import org.citrontide.runtime.duty.EventLoop;
 import org.citrontide.runtime.log.EventLog;
 import org.citrontide.runtime.log.LogRateLimiter;
 import org.citrontide.store.links.ProcessLinks;
@@ -59,7 +59,7 @@
     private final Clock clock;
     private final Dispatcher dispatcher;
     private final EntryMetrics metrics;
-    private final Duty<DispatchEvent> duty;
+    private final EventLoop<DispatchEvent> duty;
     private final Map<Long, CallerExchange> exchanges = new ConcurrentHashMap<>();
     private final Map<UpstreamId, LinkEndpoint.Dialled> dialled = new HashMap<>();
     private final Map<UpstreamId, Link> links = new ConcurrentHashMap<>();
@@ -93,7 +93,7 @@
         this.clock = clock;
         this.metrics = metrics;
         this.dispatcher = new Dispatcher(zone, subset, random);
-        this.duty = new Duty<>("dispatch", RING, new DispatchHandler());
+        this.duty = new EventLoop<>("dispatch", RING, new DispatchHandler());
     }
 
     /**
@@ -336,7 +336,7 @@
         dispatcher.on(event, clock.nanos()).forEach(this::perform);
     }
 
-    private final class DispatchHandler implements Duty.Handler<DispatchEvent> {
+    private final class DispatchHandler implements EventLoop.Handler<DispatchEvent> {
         @Override
         public void handle(DispatchEvent event) {
             if (event instanceof DispatchEvent.Configured c) {
@@ -346,14 +346,14 @@
         }
 
         @Override
-        public void wake() {
+        public void runDueTasks() {
             step(new DispatchEvent.Tick());
             openRequests = dispatcher.openRequests();
             metrics.state(openRequests, dispatcher.retries(), dispatcher.droppedFrames(), version);
         }
 
         @Override
-        public long nanosToNextWake() {
+        public long nanosToNextTask() {
             long now = clock.nanos();
             return dispatcher.nextDeadlineNanos().map(d -> d - now).orElse(IDLE_WAKE_NANOS);
         }
--- a/runtime/src/main/java/org/citrontide/runtime/duty/Clock.java
+++ b/runtime/src/main/java/org/citrontide/runtime/duty/Clock.java
@@ -1,8 +1,8 @@
 package org.citrontide.runtime.duty;
 
-/** Source of time for the shells; the state machines get it passed in. Safe for use by many threads. */
+/** Source of time for the components that do I/O; the state machines receive the time as an argument. Thread-safe. */
 public interface Clock {
-    /** The system's clocks. */
+    /** Clock of the JVM: {@link System#nanoTime()} and {@link System#currentTimeMillis()}. */
     Clock SYSTEM = new Clock() {
         @Override
         public long nanos() {
@@ -18,14 +18,14 @@
     /**
      * Returns the monotonic time.
      *
-     * @return time in ns from an arbitrary start
+     * @return time in ns since an arbitrary origin
      */
     long nanos();
 
     /**
      * Returns the wall-clock time.
      *
-     * @return time in ms since 1970
+     * @return time in ms since the epoch (1970-01-01T00:00Z)
      */
     long epochMillis();
 }
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
@@ -26,7 +26,7 @@
 import org.citrontide.core.verdict.Reason;
 import org.citrontide.core.verdict.Verdict;
 import org.citrontide.runtime.duty.Clock;
-import org.citrontide.runtime.duty.Duty;
+import org.citrontide.runtime.duty.EventLoop;
 import org.citrontide.runtime.log.EventLog;
 import org.citrontide.runtime.log.LogRateLimiter;
 import org.citrontide.sidecar.upstream.UpstreamCall;
@@ -59,7 +59,7 @@
     private final Clock clock;
     private final SidecarMetrics metrics;
     private final SidecarGate gate;
-    private final Duty<SidecarEvent> duty;
+    private final EventLoop<SidecarEvent> duty;
     private final Map<Long, Open> open = new HashMap<>();
     private final Map<AttemptKey, Long> numbers = new HashMap<>();
     private final Map<AttemptKey, UpstreamCall> calls = new ConcurrentHashMap<>();
@@ -95,7 +95,7 @@
         this.clock = clock;
         this.metrics = metrics;
         this.gate = new SidecarGate(incarnation);
-        this.duty = new Duty<>("gate", RING, new GateHandler());
+        this.duty = new EventLoop<>("gate", RING, new GateHandler());
     }
 
     /** Starts the thread. */
@@ -359,7 +359,7 @@
         }
     }
 
-    private final class GateHandler implements Duty.Handler<SidecarEvent> {
+    private final class GateHandler implements EventLoop.Handler<SidecarEvent> {
         @Override
         public void handle(SidecarEvent event) {
             switch (event) {
@@ -373,7 +373,7 @@
         }
 
         @Override
-        public void wake() {
+        public void runDueTasks() {
             long now = clock.nanos();
             if (now >= Math.min(nextTickNanos, gate.nextDeadlineNanos())) {
                 step(new GateEvent.Tick());
@@ -383,7 +383,7 @@
         }
 
         @Override
-        public long nanosToNextWake() {
+        public long nanosToNextTask() {
             boolean reported = gate.report().equals(lastReport);
             long nextReport = reported ? Long.MAX_VALUE : lastReportNanos + REPORT_GAP_NANOS;
             long next = Math.min(nextReport, Math.min(nextTickNanos, gate.nextDeadlineNanos()));
--- a/store/src/main/java/org/citrontide/store/configuration/ConfigurationService.java
+++ b/store/src/main/java/org/citrontide/store/configuration/ConfigurationService.java
@@ -14,7 +14,7 @@
 import org.citrontide.core.publication.SpreadController;
 import org.citrontide.core.publication.SpreadEvent;
 import org.citrontide.runtime.duty.Clock;
-import org.citrontide.runtime.duty.Duty;
+import org.citrontide.runtime.duty.EventLoop;
 import org.citrontide.runtime.log.EventLog;
 import org.citrontide.wire.codec.ConfigurationCodec;
 import org.citrontide.wire.generated.ConfigurationRequest;
@@ -37,7 +37,7 @@
     private final Clock clock;
     private final SpreadController controller;
     private final StoredConfiguration stored;
-    private final Duty<SpreadEvent> duty;
+    private final EventLoop<SpreadEvent> duty;
     private final Map<Long, Link> links = new ConcurrentHashMap<>();
     private final Consumer<Configuration> installed;
     private volatile Configuration inForce = Configuration.NONE;
@@ -60,7 +60,7 @@
         this.clock = clock;
         this.controller = new SpreadController(random);
         this.installed = installed;
-        this.duty = new Duty<>("configuration", RING, new SpreadHandler());
+        this.duty = new EventLoop<>("configuration", RING, new SpreadHandler());
     }
 
     /** Starts the thread. */
@@ -201,7 +201,7 @@
         installed.accept(c);
     }
 
-    private final class SpreadHandler implements Duty.Handler<SpreadEvent> {
+    private final class SpreadHandler implements EventLoop.Handler<SpreadEvent> {
         @Override
         public void handle(SpreadEvent event) {
             if (event instanceof SpreadEvent.StoreHead h) {
@@ -211,7 +211,7 @@
         }
 
         @Override
-        public void wake() {
+        public void runDueTasks() {
             long now = clock.nanos();
             if (now >= nextTickNanos) {
                 nextTickNanos = now + TICK.toNanos();
@@ -220,7 +220,7 @@
         }
 
         @Override
-        public long nanosToNextWake() {
+        public long nanosToNextTask() {
             return nextTickNanos - clock.nanos();
         }
 
