--- a/entry/src/main/java/org/citrontide/entry/dispatch/EntryMetrics.java
+++ b/entry/src/main/java/org/citrontide/entry/dispatch/EntryMetrics.java
@@ -8,7 +8,7 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 import org.citrontide.core.publication.Urgency;
 import org.citrontide.core.verdict.Verdict;
-import org.citrontide.runtime.metrics.TeamNames;
+import org.citrontide.runtime.metrics.TeamLabels;
 
 /** The metrics of an entry. Safe for use by many threads. */
 public final class EntryMetrics {
@@ -17,7 +17,7 @@
     };
     private static final double NANOS_PER_SECOND = 1e9;
 
-    private final TeamNames teams;
+    private final TeamLabels teams;
     private final Histogram requestSeconds;
     private final Counter verdicts;
     private final Gauge openRequests;
@@ -32,7 +32,7 @@
      * @param maxTeams teams that have labels of their own
      */
     public EntryMetrics(PrometheusRegistry registry, int maxTeams) {
-        teams = new TeamNames(maxTeams);
+        teams = new TeamLabels(maxTeams);
         requestSeconds = Histogram.builder()
                 .name("citrontide_request_seconds")
                 .help("Time from arrival to the end of the answer")
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayMetrics.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayMetrics.java
@@ -4,14 +4,14 @@
 import io.prometheus.metrics.core.metrics.Gauge;
 import io.prometheus.metrics.core.metrics.Histogram;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
-import org.citrontide.runtime.metrics.TeamNames;
+import org.citrontide.runtime.metrics.TeamLabels;
 
 /** The metrics of a gateway. Safe for use by many threads. */
 public final class GatewayMetrics {
     private static final double[] SECONDS = {0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8};
     private static final double NANOS_PER_SECOND = 1e9;
 
-    private final TeamNames teams;
+    private final TeamLabels teams;
     private final Histogram requestSeconds;
     private final Histogram firstByteSeconds;
     private final Counter outcomes;
@@ -26,7 +26,7 @@
      * @param maxTeams teams that have labels of their own
      */
     public GatewayMetrics(PrometheusRegistry registry, int maxTeams) {
-        teams = new TeamNames(maxTeams);
+        teams = new TeamLabels(maxTeams);
         requestSeconds = histogram(registry, "citrontide_gateway_request_seconds", "Arrival to the end of the answer");
         firstByteSeconds = histogram(registry, "citrontide_gateway_first_byte_seconds", "Arrival to the first byte");
         outcomes = Counter.builder()
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/SidecarMetrics.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/SidecarMetrics.java
@@ -9,14 +9,14 @@
 import org.citrontide.core.membership.SidecarReport;
 import org.citrontide.core.publication.Urgency;
 import org.citrontide.core.verdict.Verdict;
-import org.citrontide.runtime.metrics.TeamNames;
+import org.citrontide.runtime.metrics.TeamLabels;
 
 /** The metrics of a sidecar. Safe for use by many threads. */
 public final class SidecarMetrics {
     private static final double[] SECONDS = {0.001, 0.005, 0.025, 0.1, 0.5, 1, 1.8, 5, 10, 30, 60, 300, 3600};
     private static final double NANOS_PER_SECOND = 1e9;
 
-    private final TeamNames teams;
+    private final TeamLabels teams;
     private final Histogram attemptSeconds;
     private final Counter verdicts;
     private final Counter storeCalls;
@@ -30,7 +30,7 @@
      * @param maxTeams teams that have labels of their own
      */
     public SidecarMetrics(PrometheusRegistry registry, int maxTeams) {
-        teams = new TeamNames(maxTeams);
+        teams = new TeamLabels(maxTeams);
         attemptSeconds = Histogram.builder()
                 .name("citrontide_attempt_seconds")
                 .help("Time from an attempt's arrival to its end")
