--- a/cli/src/main/java/org/citrontide/cli/Stores.java
+++ b/cli/src/main/java/org/citrontide/cli/Stores.java
@@ -27,7 +27,7 @@
     static List<InetSocketAddress> addresses(CommandLine line, String option) throws Command.UsageException {
         List<InetSocketAddress> list = new ArrayList<>();
         for (String text : line.getOptionValue(option, "").split(",")) {
-            list.add(ProcessSettings.parse(text)
+            list.add(ProcessSettings.parseAddress(text)
                     .orElseThrow(() ->
                             new Command.UsageException("--" + option + ": found \"" + text + "\", expected IP:PORT")));
         }
--- a/entry/src/main/java/org/citrontide/entry/daemon/EntrySettings.java
+++ b/entry/src/main/java/org/citrontide/entry/daemon/EntrySettings.java
@@ -54,7 +54,7 @@
     public static Checked<EntrySettings> parse(String file, String text) {
         TomlSection root = TomlSection.parse(file, text);
         ProcessSettings process = ProcessSettings.read(root);
-        InetSocketAddress caller = ProcessSettings.address(root, "caller_address");
+        InetSocketAddress caller = ProcessSettings.readAddress(root, "caller_address");
         List<String> zones = root.strings("zones");
         int labels = root.integer("max_team_labels", 0, MAX_LABELS, DEFAULT_LABELS);
         int threads = root.integer("http_threads", LEAST_THREADS, MAX_THREADS, DEFAULT_THREADS);
--- a/fakes/src/main/java/org/citrontide/fakes/FakeMain.java
+++ b/fakes/src/main/java/org/citrontide/fakes/FakeMain.java
@@ -49,7 +49,7 @@
                 System.out.print(USAGE);
                 return;
             }
-            Optional<InetSocketAddress> address = ProcessSettings.parse(line.getOptionValue("listen", ""));
+            Optional<InetSocketAddress> address = ProcessSettings.parseAddress(line.getOptionValue("listen", ""));
             if (line.getArgList().size() != 1 || address.isEmpty()) {
                 throw new ParseException("one kind and --listen IP:PORT are needed");
             }
--- a/gateway/src/main/java/org/citrontide/gateway/daemon/GatewaySettings.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/GatewaySettings.java
@@ -68,13 +68,13 @@
         TomlSection root = TomlSection.parse(file, text);
         String vm = root.requireString("vm");
         String zone = root.requireString("zone");
-        InetSocketAddress caller = ProcessSettings.address(root, "caller_address");
-        InetSocketAddress admin = ProcessSettings.address(root, "admin_address");
-        InetSocketAddress store = ProcessSettings.address(root, "store_address");
+        InetSocketAddress caller = ProcessSettings.readAddress(root, "caller_address");
+        InetSocketAddress admin = ProcessSettings.readAddress(root, "admin_address");
+        InetSocketAddress store = ProcessSettings.readAddress(root, "store_address");
         Optional<InetSocketAddress> peer = root.names().contains("peer_address")
-                ? Optional.of(ProcessSettings.address(root, "peer_address"))
+                ? Optional.of(ProcessSettings.readAddress(root, "peer_address"))
                 : Optional.empty();
-        List<InetSocketAddress> peers = ProcessSettings.addresses(root, "peers");
+        List<InetSocketAddress> peers = ProcessSettings.readAddresses(root, "peers");
         int connections = root.integer("max_connections", 1, MAX_CONNECTIONS, DEFAULT_CONNECTIONS);
         Duration stop = root.milliseconds("stop_limit_ms", 0, MAX_STOP_MS, DEFAULT_STOP_MS);
         double ratio = root.decimal("repeat_ratio", 0, 1, DEFAULT_RATIO);
--- a/runtime/src/main/java/org/citrontide/runtime/settings/ProcessSettings.java
+++ b/runtime/src/main/java/org/citrontide/runtime/settings/ProcessSettings.java
@@ -10,17 +10,17 @@
 import org.citrontide.core.toml.Violation;
 
 /**
- * The settings that every process of citrontide has. Immutable.
+ * Settings common to all citrontide processes. Immutable.
  *
  * @param vm name of the VM
  * @param zone availability zone of the VM
- * @param linkAddress where links from other processes are accepted
- * @param adminAddress where health and metrics are served
- * @param linkKey key shared by all processes
+ * @param linkAddress address on which links from other processes are accepted
+ * @param adminAddress address on which health checks and metrics are served
+ * @param linkKey secret key shared by all processes, authenticates links
  * @param stores addresses of the platform's key-value service, tried in order
- * @param seeds links of peers in the own zone, dialled also while the platform is down
- * @param drainNotice time between the first sign of a stop and its second step
- * @param drainLimit longest time that a stop waits for running requests
+ * @param seeds link addresses of peers in the same zone, dialled even while the platform is unavailable
+ * @param drainNotice time that a graceful shutdown reports not ready before it stops accepting requests
+ * @param drainLimit maximum time that a graceful shutdown waits for requests in flight
  */
 public record ProcessSettings(
         String vm,
@@ -32,12 +32,12 @@
         List<InetSocketAddress> seeds,
         Duration drainNotice,
         Duration drainLimit) {
-    private static final int LEAST_KEY_LENGTH = 16;
+    private static final int MIN_KEY_LENGTH = 16;
     private static final int MAX_DRAIN_MS = 3_600_000;
-    private static final int DEFAULT_NOTICE_MS = 3000;
-    private static final int DEFAULT_LIMIT_MS = 120_000;
+    private static final int DEFAULT_DRAIN_NOTICE_MS = 3000;
+    private static final int DEFAULT_DRAIN_LIMIT_MS = 120_000;
 
-    /** Copies the lists. */
+    /** Copies the lists, so that the record is immutable. */
     public ProcessSettings {
         stores = List.copyOf(stores);
         seeds = List.copyOf(seeds);
@@ -46,40 +46,40 @@
     /**
      * Reads the settings from the root table of a file.
      *
-     * @param root the table; mistakes are reported there
-     * @return the settings, of use only if there are no mistakes
+     * @param root the root table, which collects the violations
+     * @return the settings, valid only if no violation was reported
      */
     public static ProcessSettings read(TomlSection root) {
         String key = root.requireString("link_key");
-        if (!key.isEmpty() && key.length() < LEAST_KEY_LENGTH) {
+        if (!key.isEmpty() && key.length() < MIN_KEY_LENGTH) {
             root.report(
                     "link_key",
                     Violation.Kind.OUT_OF_RANGE,
                     key.length() + " characters",
-                    "at least " + LEAST_KEY_LENGTH + " characters");
+                    "at least " + MIN_KEY_LENGTH + " characters");
         }
         return new ProcessSettings(
                 root.requireString("vm"),
                 root.requireString("zone"),
-                address(root, "link_address"),
-                address(root, "admin_address"),
+                readAddress(root, "link_address"),
+                readAddress(root, "admin_address"),
                 key,
-                addresses(root, "store_addresses"),
-                addresses(root, "seed_links"),
-                root.milliseconds("drain_notice_ms", 0, MAX_DRAIN_MS, DEFAULT_NOTICE_MS),
-                root.milliseconds("drain_limit_ms", 0, MAX_DRAIN_MS, DEFAULT_LIMIT_MS));
+                readAddresses(root, "store_addresses"),
+                readAddresses(root, "seed_links"),
+                root.milliseconds("drain_notice_ms", 0, MAX_DRAIN_MS, DEFAULT_DRAIN_NOTICE_MS),
+                root.milliseconds("drain_limit_ms", 0, MAX_DRAIN_MS, DEFAULT_DRAIN_LIMIT_MS));
     }
 
     /**
      * Reads a required address.
      *
-     * @param s table of the file
+     * @param s table of the settings file, which collects the violations
      * @param key key in the table
-     * @return IP number and port, or a placeholder after a mistake
+     * @return IP address and port, or a placeholder if a violation was reported
      */
-    public static InetSocketAddress address(TomlSection s, String key) {
+    public static InetSocketAddress readAddress(TomlSection s, String key) {
         String text = s.requireString(key);
-        return parse(text).orElseGet(() -> {
+        return parseAddress(text).orElseGet(() -> {
             if (!text.isEmpty()) {
                 reportAddress(s, key, text);
             }
@@ -88,19 +88,19 @@
     }
 
     /**
-     * Parses an address.
+     * Parses an IP address with a port.
      *
-     * @param text IP number, colon and port; IPv6 numbers in brackets
-     * @return the address, or empty if the text is none
+     * @param text IP address, colon and port; an IPv6 address is in brackets
+     * @return the address, or empty if the text is malformed
      */
-    public static Optional<InetSocketAddress> parse(String text) {
+    public static Optional<InetSocketAddress> parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 1) {
             return Optional.empty();
         }
         String host = text.substring(0, colon);
-        boolean isNumber = host.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}") || host.matches("\\[[0-9a-fA-F:]+]");
-        if (!isNumber || !text.substring(colon + 1).matches("[0-9]{1,5}")) {
+        boolean isIpAddress = host.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}") || host.matches("\\[[0-9a-fA-F:]+]");
+        if (!isIpAddress || !text.substring(colon + 1).matches("[0-9]{1,5}")) {
             return Optional.empty();
         }
         int port = Integer.parseInt(text.substring(colon + 1));
@@ -108,16 +108,16 @@
     }
 
     /**
-     * Reads a list of addresses.
+     * Reads an optional list of addresses. Malformed entries are reported and left out.
      *
-     * @param s the table
-     * @param key its key
-     * @return the addresses, none if the key is absent
+     * @param s table of the settings file, which collects the violations
+     * @param key key in the table
+     * @return the well-formed addresses; empty if the key is absent
      */
-    public static List<InetSocketAddress> addresses(TomlSection s, String key) {
+    public static List<InetSocketAddress> readAddresses(TomlSection s, String key) {
         List<InetSocketAddress> list = new ArrayList<>();
         for (String text : s.strings(key)) {
-            Optional<InetSocketAddress> a = parse(text);
+            Optional<InetSocketAddress> a = parseAddress(text);
             if (a.isEmpty()) {
                 reportAddress(s, key, text);
             }
@@ -131,6 +131,6 @@
                 key,
                 Violation.Kind.OUT_OF_RANGE,
                 "\"" + text + "\"",
-                "an IP number, a colon and a port, such as \"10.0.0.7:9400\"");
+                "an IP address, a colon and a port, such as \"10.0.0.7:9400\"");
     }
 }
--- a/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarSettings.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarSettings.java
@@ -37,7 +37,7 @@
         TomlSection root = TomlSection.parse(file, text);
         ProcessSettings process = ProcessSettings.read(root);
         String service = root.requireString("service");
-        InetSocketAddress upstream = ProcessSettings.address(root, "upstream_address");
+        InetSocketAddress upstream = ProcessSettings.readAddress(root, "upstream_address");
         int connections = root.integer("upstream_connections", 1, MAX_CONNECTIONS, DEFAULT_CONNECTIONS);
         int labels = root.integer("max_team_labels", 0, MAX_LABELS, DEFAULT_LABELS);
         return root.finish(() -> new SidecarSettings(process, service, upstream, connections, labels));
