--- a/runtime/src/main/java/org/citrontide/runtime/admin/AdminServer.java
+++ b/runtime/src/main/java/org/citrontide/runtime/admin/AdminServer.java
@@ -20,7 +20,7 @@
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** Serves {@code /livez}, {@code /readyz} and {@code /metrics} on an address of their own. Safe for many threads. */
+/** Serves {@code /livez}, {@code /readyz} and {@code /metrics} on a separate address. Thread-safe. */
 public final class AdminServer implements AutoCloseable {
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
@@ -32,10 +32,10 @@
     /**
      * Starts the server.
      *
-     * @param address IP number and port
-     * @param registry the metrics to show
-     * @param ready whether this process takes work
-     * @throws IOException if the address can't be used
+     * @param address IP address and port to listen on
+     * @param registry the metrics that {@code /metrics} returns
+     * @param ready whether this process accepts requests; decides the status of {@code /readyz}
+     * @throws IOException if the server can't listen on the address
      */
     public AdminServer(InetSocketAddress address, PrometheusRegistry registry, BooleanSupplier ready)
             throws IOException {
@@ -47,13 +47,13 @@
         connector.setHost(address.getHostString());
         connector.setPort(address.getPort());
         server.addConnector(connector);
-        server.setHandler(new Pages(registry, ready));
+        server.setHandler(new AdminHandler(registry, ready));
         try {
             server.start();
         } catch (IOException e) {
             throw e;
         } catch (Exception e) {
-            throw new IOException("can't serve on " + address, e);
+            throw new IOException("admin server failed to start on " + address, e);
         }
     }
 
@@ -62,15 +62,15 @@
         try {
             server.stop();
         } catch (Exception e) {
-            throw new IllegalStateException("the admin server did not stop", e);
+            throw new IllegalStateException("admin server failed to stop", e);
         }
     }
 
-    private static final class Pages extends Handler.Abstract {
+    private static final class AdminHandler extends Handler.Abstract {
         private final PrometheusRegistry registry;
         private final BooleanSupplier ready;
 
-        private Pages(PrometheusRegistry registry, BooleanSupplier ready) {
+        private AdminHandler(PrometheusRegistry registry, BooleanSupplier ready) {
             this.registry = registry;
             this.ready = ready;
         }
@@ -78,22 +78,22 @@
         @Override
         public boolean handle(Request request, Response response, Callback callback) throws IOException {
             switch (Request.getPathInContext(request)) {
-                case "/livez" -> text(response, OK, "live\n", callback);
+                case "/livez" -> writeText(response, OK, "live\n", callback);
                 case "/readyz" -> {
                     boolean isReady = ready.getAsBoolean();
-                    text(response, isReady ? OK : UNAVAILABLE, isReady ? "ready\n" : "not ready\n", callback);
+                    writeText(response, isReady ? OK : UNAVAILABLE, isReady ? "ready\n" : "not ready\n", callback);
                 }
                 case "/metrics" -> {
                     ByteArrayOutputStream out = new ByteArrayOutputStream();
                     PrometheusTextFormatWriter.create().write(out, registry.scrape());
-                    text(response, OK, out.toString(StandardCharsets.UTF_8), callback);
+                    writeText(response, OK, out.toString(StandardCharsets.UTF_8), callback);
                 }
-                default -> text(response, NOT_FOUND, "unknown page\n", callback);
+                default -> writeText(response, NOT_FOUND, "unknown page\n", callback);
             }
             return true;
         }
 
-        private static void text(Response response, int status, String body, Callback callback) {
+        private static void writeText(Response response, int status, String body, Callback callback) {
             response.setStatus(status);
             response.getHeaders().put(HttpHeader.CONTENT_TYPE, "text/plain; charset=utf-8");
             response.write(true, ByteBuffer.wrap(body.getBytes(StandardCharsets.UTF_8)), callback);
