--- a/runtime/src/main/java/org/citrontide/runtime/signal/ReloadSignal.java
+++ b/runtime/src/main/java/org/citrontide/runtime/signal/ReloadSignal.java
@@ -6,8 +6,8 @@
 import org.citrontide.runtime.log.EventLog;
 
 /**
- * Handles SIGHUP, which would end the process otherwise. The JDK's only interface for signals is internal and may be
- * missing, so it is found at run time. Stateless and safe for use by many threads.
+ * Handles SIGHUP, whose default action terminates the process. The JDK's only API for signals is internal and may be
+ * missing, so it is looked up by reflection. Stateless and thread-safe.
  */
 public final class ReloadSignal {
     private static final EventLog LOG = EventLog.of(ReloadSignal.class);
@@ -15,9 +15,9 @@
     private ReloadSignal() {}
 
     /**
-     * Runs a task at each SIGHUP.
+     * Runs a task on each SIGHUP. If the handler can't be installed, a warning is logged and the default action stays.
      *
-     * @param task what to do, on a thread of the JDK
+     * @param task the task, run on a thread of the JDK
      */
     public static void handle(Runnable task) {
         try {
