--- a/core/src/main/java/org/citrontide/core/claim/ClaimAction.java
+++ b/core/src/main/java/org/citrontide/core/claim/ClaimAction.java
@@ -4,45 +4,45 @@
 
 import org.citrontide.core.verdict.Verdict;
 
-/** What a {@link ClaimLedger} asks of its shell. Immutable. */
+/** An action that a {@link ClaimLedger} requests from its caller. Immutable. */
 public sealed interface ClaimAction {
 
     /**
-     * Read a bucket.
+     * Reads a bucket.
      *
      * @param bucket number of the bucket
      */
-    record Read(int bucket) implements ClaimAction {}
+    record ReadBucket(int bucket) implements ClaimAction {}
 
     /**
-     * Write a bucket by compare-and-swap.
+     * Writes a bucket by compare-and-swap.
      *
      * @param bucket number of the bucket
-     * @param expectedRevision revision the bucket must have, 0 if it must not exist
-     * @param claims the new value
+     * @param expectedRevision revision that the bucket must have, 0 if it must not exist
+     * @param claims the new claims of the bucket
      */
-    record Write(int bucket, long expectedRevision, List<Claim> claims) implements ClaimAction {}
+    record WriteBucket(int bucket, long expectedRevision, List<Claim> claims) implements ClaimAction {}
 
     /**
-     * The attempt holds its claim.
+     * Grants the attempt its claim.
      *
      * @param attempt number of the attempt
      */
-    record Granted(long attempt) implements ClaimAction {}
+    record GrantClaim(long attempt) implements ClaimAction {}
 
     /**
-     * The attempt must not run.
+     * Denies the attempt its claim; it must not run.
      *
      * @param attempt number of the attempt
-     * @param verdict what to answer
+     * @param verdict verdict to respond with
      */
-    record Denied(long attempt, Verdict verdict) implements ClaimAction {}
+    record DenyClaim(long attempt, Verdict verdict) implements ClaimAction {}
 
     /**
-     * The same key was answered before.
+     * Responds to the attempt with the stored response to an earlier request with the same key.
      *
      * @param attempt number of the attempt
-     * @param answer the answer to repeat
+     * @param response the response to replay
      */
-    record Replay(long attempt, StoredAnswer answer) implements ClaimAction {}
+    record ReplayResponse(long attempt, StoredResponse response) implements ClaimAction {}
 }
--- a/core/src/main/java/org/citrontide/core/claim/ClaimBucketState.java
+++ b/core/src/main/java/org/citrontide/core/claim/ClaimBucketState.java
@@ -9,13 +9,13 @@
 import java.util.Set;
 
 /**
- * What a sidecar knows of one bucket and what it wants to change in it.
+ * The last known value of a bucket and the changes that are pending for it.
  *
- * <p>Invariant: at most one call to the platform's service is outstanding for a bucket. Not thread-safe.
+ * <p>Invariant: at most one call to the platform's store is outstanding per bucket. Not thread-safe.
  */
 final class ClaimBucketState {
 
-    /** What is outstanding at the platform's service. */
+    /** The outstanding call to the platform's store. */
     enum Call {
         NONE,
         READ,
@@ -23,53 +23,53 @@
     }
 
     /**
-     * The bucket's last known value.
+     * A value of the bucket as last read or written.
      *
-     * @param revision its revision
-     * @param claims the claims by key
+     * @param revision revision of the bucket
+     * @param claims claims by key
      */
-    record Known(long revision, Map<KeyHash, Claim> claims) {
-        static Known of(long revision, List<Claim> claims) {
+    record Snapshot(long revision, Map<KeyHash, Claim> claims) {
+        static Snapshot of(long revision, List<Claim> claims) {
             Map<KeyHash, Claim> map = new LinkedHashMap<>();
             claims.forEach(c -> map.put(c.key(), c));
-            return new Known(revision, map);
+            return new Snapshot(revision, map);
         }
     }
 
     final int number;
-    final List<PendingClaim> asks = new ArrayList<>();
+    final List<PendingClaim> requests = new ArrayList<>();
     final Set<ClaimHolder> releases = new LinkedHashSet<>();
-    Call call = Call.NONE;
+    Call outstandingCall = Call.NONE;
 
-    /** Whether the last call failed; releases alone then wait for the next tick. */
+    /** Whether the last call failed; a bucket with releases only is then not retried before the next tick. */
     boolean storeFailed;
 
-    Optional<Known> known = Optional.empty();
+    Optional<Snapshot> snapshot = Optional.empty();
 
-    /** Value, insertions and releases of the outstanding write. */
-    List<Claim> writing = List.of();
+    /** Claims, insertions and releases of the outstanding write. */
+    List<Claim> writtenClaims = List.of();
 
-    List<PendingClaim> inserting = List.of();
-    List<ClaimHolder> releasing = List.of();
+    List<PendingClaim> writtenRequests = List.of();
+    List<ClaimHolder> writtenReleases = List.of();
 
     ClaimBucketState(int number) {
         this.number = number;
     }
 
-    boolean hasWork() {
-        return !asks.isEmpty() || !releases.isEmpty();
+    boolean hasPendingChanges() {
+        return !requests.isEmpty() || !releases.isEmpty();
     }
 
-    /** Puts the changes of the outstanding write back to be tried again. */
-    void takeBackWrite() {
-        asks.addAll(0, inserting);
-        releases.addAll(releasing);
+    /** Returns the changes of the outstanding write to the pending ones, so that they are retried. */
+    void requeueWrite() {
+        requests.addAll(0, writtenRequests);
+        releases.addAll(writtenReleases);
         clearWrite();
     }
 
     void clearWrite() {
-        writing = List.of();
-        inserting = List.of();
-        releasing = List.of();
+        writtenClaims = List.of();
+        writtenRequests = List.of();
+        writtenReleases = List.of();
     }
 }
--- a/core/src/main/java/org/citrontide/core/claim/ClaimEvent.java
+++ b/core/src/main/java/org/citrontide/core/claim/ClaimEvent.java
@@ -3,65 +3,65 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What happens to a {@link ClaimLedger}. Immutable. */
+/** An input event of a {@link ClaimLedger}. Immutable. */
 public sealed interface ClaimEvent {
 
     /**
-     * An attempt wants to run and needs a claim first.
+     * An attempt requests a claim, which it needs before it may run.
      *
-     * @param attempt number of the attempt, never used before
-     * @param key hash of its idempotency key
-     * @param deadlineNanos monotonic time after which it must not start
+     * @param attempt number of the attempt, unique within the process
+     * @param key hash of the attempt's idempotency key
+     * @param deadlineNanos monotonic time in ns from which the attempt must not start
      */
-    record Ask(long attempt, KeyHash key, long deadlineNanos) implements ClaimEvent {}
+    record ClaimRequested(long attempt, KeyHash key, long deadlineNanos) implements ClaimEvent {}
 
     /**
-     * An attempt's call certainly never went out, or is no longer wanted before it was granted.
+     * The attempt's call was certainly not sent, or the attempt was cancelled before its claim was granted.
      *
      * @param attempt number of the attempt
      */
-    record NeverSent(long attempt) implements ClaimEvent {}
+    record CallNotSent(long attempt) implements ClaimEvent {}
 
     /**
-     * An attempt's call ended after it went out.
+     * The attempt's call ended after it had been sent.
      *
      * @param attempt number of the attempt
-     * @param answer the whole answer, or empty if it was lost
+     * @param response the complete response, or empty if it was lost
      */
-    record Finished(long attempt, Optional<StoredAnswer> answer) implements ClaimEvent {}
+    record CallFinished(long attempt, Optional<StoredResponse> response) implements ClaimEvent {}
 
     /**
-     * A read of a bucket was answered.
+     * A bucket was read.
      *
      * @param bucket number of the bucket
-     * @param revision revision of the value, 0 if the bucket does not exist
-     * @param claims the value
+     * @param revision revision of the bucket, 0 if it does not exist
+     * @param claims the claims in the bucket
      */
     record BucketRead(int bucket, long revision, List<Claim> claims) implements ClaimEvent {}
 
     /**
-     * A write of a bucket took effect.
+     * A bucket was written.
      *
      * @param bucket number of the bucket
-     * @param revision revision of the new value
+     * @param revision new revision of the bucket
      */
     record BucketWritten(int bucket, long revision) implements ClaimEvent {}
 
     /**
-     * A write of a bucket was refused because the revision was another one.
+     * A bucket was not written, because its revision did not match the expected one.
      *
      * @param bucket number of the bucket
      */
     record BucketConflict(int bucket) implements ClaimEvent {}
 
     /**
-     * A read or write got no answer, or an error.
+     * A read or write of a bucket failed or got no response.
      *
      * @param bucket number of the bucket
-     * @param mayHaveTakenEffect whether a write may have been carried out all the same
+     * @param mayHaveTakenEffect whether a write may have taken effect despite the failure
      */
     record BucketFailed(int bucket, boolean mayHaveTakenEffect) implements ClaimEvent {}
 
-    /** Time passed. */
+    /** Time advanced. */
     record Tick() implements ClaimEvent {}
 }
--- a/core/src/main/java/org/citrontide/core/claim/ClaimHolder.java
+++ b/core/src/main/java/org/citrontide/core/claim/ClaimHolder.java
@@ -1,7 +1,7 @@
 package org.citrontide.core.claim;
 
 /**
- * Who made a claim: one attempt of one start of one sidecar. Never used twice. Immutable.
+ * Identifies the holder of a claim: an attempt within one run of a sidecar process. Never reused. Immutable.
  *
  * @param incarnation random number drawn at the start of the sidecar's process
  * @param attempt number of the attempt within that process
--- a/core/src/main/java/org/citrontide/core/claim/ClaimLedger.java
+++ b/core/src/main/java/org/citrontide/core/claim/ClaimLedger.java
@@ -14,45 +14,46 @@
 import org.citrontide.core.verdict.Verdict;
 
 /**
- * Lets a call that must not be repeated run at most once for each idempotency key, across all sidecars of a service.
+ * Ensures that a non-repeatable call runs at most once per idempotency key, across all sidecars of a service.
  *
- * <p>A claim is inserted by compare-and-swap into a bucket value of the platform's service before the call goes out.
- * Claims that arrive while a write is outstanding share the next one. A lost answer is settled by reading back.
+ * <p>Before the call is sent, a claim is inserted by compare-and-swap into a bucket of the platform's store. Claims
+ * requested while a write is outstanding are batched into the next one. After a write with an unknown outcome, the
+ * bucket is read back.
  *
  * <p>Invariants:
  *
  * <ul>
- *   <li>An attempt is granted only after its own claim was seen in the bucket, and no claim is removed while its
- *       call may have gone out, until the window and a margin for clock differences have passed.
- *   <li>A call goes out only before {@link #latestStart}: while the claim is younger than the window less the
- *       margin, on the monotonic clock from before the write was sent, and on the wall clock, which also passes while
+ *   <li>An attempt is granted only after its own claim is known to be in the bucket. A claim whose call may have been
+ *       sent is not removed until the window and a margin for clock differences have passed.
+ *   <li>A call is sent only before {@link #latestStart}: while the claim is younger than the window less the margin, on
+ *       the monotonic clock, counted from before the write was sent, and on the wall clock, which also advances while
  *       the whole VM is suspended.
- *   <li>An attempt denied as {@link Verdict.NotRun} is never granted later; a claim it left behind is released.
+ *   <li>An attempt denied as {@link Verdict.NotRun} is never granted later; a claim it may have stored is released.
  * </ul>
  *
  * <p>Not thread-safe: one thread owns it. It does no I/O and reads no clock.
  */
 public final class ClaimLedger {
-    /** Difference between two VMs' wall clocks, and slowness of a monotonic clock, that the ledger tolerates. */
+    /** Tolerated difference between the wall clocks of two VMs, and tolerated lag of a monotonic clock. */
     public static final Duration CLOCK_MARGIN = Duration.ofSeconds(20);
 
-    private static final Duration STORE_RETRY_AFTER = Duration.ofSeconds(5);
-    private static final Duration NO_WAIT = Duration.ZERO;
-    private static final int ANSWER_MEMORY_BYTES = 4 * 1024 * 1024;
+    private static final Duration STORE_RETRY_DELAY = Duration.ofSeconds(5);
+    private static final Duration NO_RETRY_DELAY = Duration.ZERO;
+    private static final int RESPONSE_CACHE_BYTES = 4 * 1024 * 1024;
 
     private final long incarnation;
     private final Map<Integer, ClaimBucketState> buckets = new HashMap<>();
     private final Map<Long, PendingClaim> byAttempt = new LinkedHashMap<>();
     private final Map<KeyHash, PendingClaim> byKey = new HashMap<>();
-    private final Set<ClaimHolder> neverSent = new HashSet<>();
-    private final AnswerMemory answers = new AnswerMemory(ANSWER_MEMORY_BYTES);
+    private final Set<ClaimHolder> unsentHolders = new HashSet<>();
+    private final ResponseCache responses = new ResponseCache(RESPONSE_CACHE_BYTES);
     private Duration window;
 
     /**
-     * Makes an empty ledger.
+     * Creates an empty ledger.
      *
      * @param incarnation random number drawn at the start of this process
-     * @param window how long a key is remembered
+     * @param window time for which a key stays claimed
      */
     public ClaimLedger(long incarnation, Duration window) {
         this.incarnation = incarnation;
@@ -60,239 +61,247 @@
     }
 
     /**
-     * Takes a new window for claims made from now on.
+     * Sets the window of claims that are first written from now on; claims written before keep theirs.
      *
-     * @param newWindow how long a key is remembered
+     * @param newWindow time for which a key stays claimed
      */
     public void configure(Duration newWindow) {
         window = newWindow;
     }
 
     /**
-     * Takes one event.
+     * Handles an event.
      *
-     * @param event what happened
+     * @param event the event to handle
      * @param nowNanos monotonic time in ns
      * @param epochMillis wall-clock time in ms since 1970
-     * @return what the shell must do, in order
+     * @return the actions that the caller must perform, in order
      */
     public List<ClaimAction> on(ClaimEvent event, long nowNanos, long epochMillis) {
-        List<ClaimAction> out = new ArrayList<>();
+        List<ClaimAction> actions = new ArrayList<>();
         switch (event) {
-            case ClaimEvent.Ask a -> ask(a, out);
-            case ClaimEvent.NeverSent n -> neverSent(n.attempt());
-            case ClaimEvent.Finished f -> finished(f);
-            case ClaimEvent.BucketRead r -> read(r, nowNanos, out);
-            case ClaimEvent.BucketWritten w -> written(w, nowNanos, out);
-            case ClaimEvent.BucketConflict c -> conflict(bucket(c.bucket()));
-            case ClaimEvent.BucketFailed f -> failed(f, out);
-            case ClaimEvent.Tick t -> expireAsks(nowNanos, out);
+            case ClaimEvent.ClaimRequested r -> requestClaim(r, actions);
+            case ClaimEvent.CallNotSent n -> callNotSent(n.attempt());
+            case ClaimEvent.CallFinished f -> callFinished(f);
+            case ClaimEvent.BucketRead r -> bucketRead(r, nowNanos, actions);
+            case ClaimEvent.BucketWritten w -> bucketWritten(w, nowNanos, actions);
+            case ClaimEvent.BucketConflict c -> bucketConflict(bucket(c.bucket()));
+            case ClaimEvent.BucketFailed f -> bucketFailed(f, actions);
+            case ClaimEvent.Tick t -> expireRequests(nowNanos, actions);
         }
-        buckets.values().forEach(b -> advance(b, nowNanos, epochMillis, out));
-        return out;
+        buckets.values().forEach(bucket -> startNextCall(bucket, nowNanos, epochMillis, actions));
+        return actions;
     }
 
     /**
-     * Says until when an attempt's call may go out.
+     * Returns the latest time at which the attempt's call may be sent.
      *
      * @param attempt number of the attempt
-     * @return the latest moment by both clocks, or empty if it holds no claim
+     * @return the latest time on both clocks, or empty if the attempt holds no claim
      */
     public Optional<LatestStart> latestStart(long attempt) {
         return Optional.ofNullable(byAttempt.get(attempt))
-                .filter(p -> p.stage == PendingClaim.Stage.GRANTED)
-                .map(p -> new LatestStart(
-                        p.sinceNanos + p.window.minus(CLOCK_MARGIN).toNanos(),
-                        p.expiresEpochMillis - CLOCK_MARGIN.toMillis()));
+                .filter(pending -> pending.stage == PendingClaim.Stage.GRANTED)
+                .map(pending -> new LatestStart(
+                        pending.sinceNanos + pending.window.minus(CLOCK_MARGIN).toNanos(),
+                        pending.expiresEpochMillis - CLOCK_MARGIN.toMillis()));
     }
 
     /**
-     * Returns the earliest deadline of an attempt that waits for its claim.
+     * Returns the earliest deadline of the attempts that wait for a claim.
      *
      * @return monotonic time in ns, {@link Long#MAX_VALUE} if there is none
      */
     public long nextDeadlineNanos() {
         return byAttempt.values().stream()
-                .filter(p -> p.stage == PendingClaim.Stage.ASKED)
-                .mapToLong(p -> p.deadlineNanos)
+                .filter(pending -> pending.stage == PendingClaim.Stage.REQUESTED)
+                .mapToLong(pending -> pending.deadlineNanos)
                 .min()
                 .orElse(Long.MAX_VALUE);
     }
 
-    private void ask(ClaimEvent.Ask a, List<ClaimAction> out) {
-        Optional<StoredAnswer> answer = answers.find(a.key());
-        if (answer.isPresent()) {
-            out.add(new ClaimAction.Replay(a.attempt(), answer.get()));
+    private void requestClaim(ClaimEvent.ClaimRequested event, List<ClaimAction> actions) {
+        Optional<StoredResponse> response = responses.find(event.key());
+        if (response.isPresent()) {
+            actions.add(new ClaimAction.ReplayResponse(event.attempt(), response.get()));
             return;
         }
-        if (byKey.containsKey(a.key())) {
-            out.add(new ClaimAction.Denied(a.attempt(), new Verdict.MayHaveRun(Reason.IN_PROGRESS)));
+        if (byKey.containsKey(event.key())) {
+            actions.add(new ClaimAction.DenyClaim(event.attempt(), new Verdict.MayHaveRun(Reason.IN_PROGRESS)));
             return;
         }
-        PendingClaim p = new PendingClaim(a);
-        byAttempt.put(p.attempt, p);
-        byKey.put(p.key, p);
-        bucket(p.key.bucket()).asks.add(p);
+        PendingClaim pending = new PendingClaim(event);
+        byAttempt.put(pending.attempt, pending);
+        byKey.put(pending.key, pending);
+        bucket(pending.key.bucket()).requests.add(pending);
     }
 
-    private void neverSent(long attempt) {
-        PendingClaim p = byAttempt.get(attempt);
-        if (p != null) {
-            drop(p);
+    private void callNotSent(long attempt) {
+        PendingClaim pending = byAttempt.get(attempt);
+        if (pending != null) {
+            abandon(pending);
         }
     }
 
-    /** Ends an attempt whose call did not go out; a claim that may exist is released. */
-    private void drop(PendingClaim p) {
-        p.stage = PendingClaim.Stage.DROPPED;
-        byAttempt.remove(p.attempt);
-        byKey.remove(p.key);
-        ClaimBucketState b = bucket(p.key.bucket());
-        b.asks.remove(p);
-        if (p.written) {
-            neverSent.add(holder(p));
-            b.releases.add(holder(p));
+    /** Ends an attempt whose call was not sent, and releases its claim if that may be stored. */
+    private void abandon(PendingClaim pending) {
+        pending.stage = PendingClaim.Stage.ABANDONED;
+        byAttempt.remove(pending.attempt);
+        byKey.remove(pending.key);
+        ClaimBucketState bucket = bucket(pending.key.bucket());
+        bucket.requests.remove(pending);
+        if (pending.writeSent) {
+            unsentHolders.add(holder(pending));
+            bucket.releases.add(holder(pending));
         }
     }
 
-    private void finished(ClaimEvent.Finished f) {
-        PendingClaim p = byAttempt.remove(f.attempt());
-        if (p == null) {
+    private void callFinished(ClaimEvent.CallFinished event) {
+        PendingClaim pending = byAttempt.remove(event.attempt());
+        if (pending == null) {
             return;
         }
-        byKey.remove(p.key);
-        f.answer().ifPresent(a -> answers.put(p.key, a));
+        byKey.remove(pending.key);
+        event.response().ifPresent(r -> responses.put(pending.key, r));
     }
 
-    private void read(ClaimEvent.BucketRead r, long nowNanos, List<ClaimAction> out) {
-        ClaimBucketState b = bucket(r.bucket());
-        b.call = ClaimBucketState.Call.NONE;
-        ClaimBucketState.Known known = ClaimBucketState.Known.of(r.revision(), r.claims());
-        b.known = Optional.of(known);
-        for (PendingClaim p : List.copyOf(b.asks)) {
-            Claim c = known.claims().get(p.key);
-            if (p.written && c != null && c.holder().equals(holder(p))) {
-                b.asks.remove(p);
-                grant(p, nowNanos, out);
+    private void bucketRead(ClaimEvent.BucketRead event, long nowNanos, List<ClaimAction> actions) {
+        ClaimBucketState bucket = bucket(event.bucket());
+        bucket.outstandingCall = ClaimBucketState.Call.NONE;
+        ClaimBucketState.Snapshot snapshot = ClaimBucketState.Snapshot.of(event.revision(), event.claims());
+        bucket.snapshot = Optional.of(snapshot);
+        for (PendingClaim pending : List.copyOf(bucket.requests)) {
+            Claim stored = snapshot.claims().get(pending.key);
+            if (pending.writeSent && stored != null && stored.holder().equals(holder(pending))) {
+                bucket.requests.remove(pending);
+                grant(pending, nowNanos, actions);
             }
         }
     }
 
-    private void written(ClaimEvent.BucketWritten w, long nowNanos, List<ClaimAction> out) {
-        ClaimBucketState b = bucket(w.bucket());
-        b.call = ClaimBucketState.Call.NONE;
-        b.known = Optional.of(ClaimBucketState.Known.of(w.revision(), b.writing));
-        List<PendingClaim> inserted = b.inserting;
-        neverSent.removeAll(b.releasing);
-        b.clearWrite();
-        for (PendingClaim p : inserted) {
-            if (p.stage == PendingClaim.Stage.ASKED) {
-                grant(p, nowNanos, out);
+    private void bucketWritten(ClaimEvent.BucketWritten event, long nowNanos, List<ClaimAction> actions) {
+        ClaimBucketState bucket = bucket(event.bucket());
+        bucket.outstandingCall = ClaimBucketState.Call.NONE;
+        bucket.snapshot = Optional.of(ClaimBucketState.Snapshot.of(event.revision(), bucket.writtenClaims));
+        List<PendingClaim> inserted = bucket.writtenRequests;
+        unsentHolders.removeAll(bucket.writtenReleases);
+        bucket.clearWrite();
+        for (PendingClaim pending : inserted) {
+            if (pending.stage == PendingClaim.Stage.REQUESTED) {
+                grant(pending, nowNanos, actions);
             }
         }
     }
 
-    private void grant(PendingClaim p, long nowNanos, List<ClaimAction> out) {
-        if (nowNanos >= p.deadlineNanos) {
-            drop(p);
-            out.add(denied(p, Reason.DEADLINE, NO_WAIT));
+    private void grant(PendingClaim pending, long nowNanos, List<ClaimAction> actions) {
+        if (nowNanos >= pending.deadlineNanos) {
+            abandon(pending);
+            actions.add(denied(pending, Reason.DEADLINE, NO_RETRY_DELAY));
             return;
         }
-        p.stage = PendingClaim.Stage.GRANTED;
-        out.add(new ClaimAction.Granted(p.attempt));
+        pending.stage = PendingClaim.Stage.GRANTED;
+        actions.add(new ClaimAction.GrantClaim(pending.attempt));
     }
 
-    private void conflict(ClaimBucketState b) {
-        b.call = ClaimBucketState.Call.NONE;
-        b.known = Optional.empty();
-        takeBackWrite(b);
+    private void bucketConflict(ClaimBucketState bucket) {
+        bucket.outstandingCall = ClaimBucketState.Call.NONE;
+        bucket.snapshot = Optional.empty();
+        requeueWrite(bucket);
     }
 
-    private void failed(ClaimEvent.BucketFailed f, List<ClaimAction> out) {
-        ClaimBucketState b = bucket(f.bucket());
-        boolean settle = b.call == ClaimBucketState.Call.WRITE && f.mayHaveTakenEffect();
-        b.call = ClaimBucketState.Call.NONE;
-        b.known = Optional.empty();
-        takeBackWrite(b);
-        if (settle) {
+    private void bucketFailed(ClaimEvent.BucketFailed event, List<ClaimAction> actions) {
+        ClaimBucketState bucket = bucket(event.bucket());
+        boolean isOutcomeUnknown = bucket.outstandingCall == ClaimBucketState.Call.WRITE && event.mayHaveTakenEffect();
+        bucket.outstandingCall = ClaimBucketState.Call.NONE;
+        bucket.snapshot = Optional.empty();
+        requeueWrite(bucket);
+        if (isOutcomeUnknown) {
             return;
         }
-        for (PendingClaim p : List.copyOf(b.asks)) {
-            drop(p);
-            out.add(denied(p, Reason.STORE_UNREACHABLE, STORE_RETRY_AFTER));
+        for (PendingClaim pending : List.copyOf(bucket.requests)) {
+            abandon(pending);
+            actions.add(denied(pending, Reason.STORE_UNREACHABLE, STORE_RETRY_DELAY));
         }
-        b.storeFailed = true;
+        bucket.storeFailed = true;
     }
 
-    private void expireAsks(long nowNanos, List<ClaimAction> out) {
-        buckets.values().forEach(b -> b.storeFailed = false);
-        for (PendingClaim p : List.copyOf(byAttempt.values())) {
-            if (p.stage == PendingClaim.Stage.ASKED && nowNanos >= p.deadlineNanos) {
-                drop(p);
-                out.add(denied(p, Reason.DEADLINE, NO_WAIT));
+    private void expireRequests(long nowNanos, List<ClaimAction> actions) {
+        buckets.values().forEach(bucket -> bucket.storeFailed = false);
+        for (PendingClaim pending : List.copyOf(byAttempt.values())) {
+            if (pending.stage == PendingClaim.Stage.REQUESTED && nowNanos >= pending.deadlineNanos) {
+                abandon(pending);
+                actions.add(denied(pending, Reason.DEADLINE, NO_RETRY_DELAY));
             }
         }
     }
 
-    private void takeBackWrite(ClaimBucketState b) {
-        b.takeBackWrite();
-        b.asks.removeIf(p -> p.stage != PendingClaim.Stage.ASKED);
+    private void requeueWrite(ClaimBucketState bucket) {
+        bucket.requeueWrite();
+        bucket.requests.removeIf(pending -> pending.stage != PendingClaim.Stage.REQUESTED);
     }
 
-    /** Starts the next call of a bucket that has work and no call outstanding. */
-    private void advance(ClaimBucketState b, long nowNanos, long epochMillis, List<ClaimAction> out) {
-        if (b.call != ClaimBucketState.Call.NONE || !b.hasWork()) {
+    /** Starts the next call of a bucket that has pending changes and no outstanding call. */
+    private void startNextCall(ClaimBucketState bucket, long nowNanos, long epochMillis, List<ClaimAction> actions) {
+        if (bucket.outstandingCall != ClaimBucketState.Call.NONE || !bucket.hasPendingChanges()) {
             return;
         }
-        if (b.storeFailed && b.asks.isEmpty()) {
+        if (bucket.storeFailed && bucket.requests.isEmpty()) {
             return;
         }
-        b.storeFailed = false;
-        if (b.known.isEmpty()) {
-            b.call = ClaimBucketState.Call.READ;
-            out.add(new ClaimAction.Read(b.number));
+        bucket.storeFailed = false;
+        if (bucket.snapshot.isEmpty()) {
+            bucket.outstandingCall = ClaimBucketState.Call.READ;
+            actions.add(new ClaimAction.ReadBucket(bucket.number));
             return;
         }
-        startWrite(b, b.known.get(), nowNanos, epochMillis, out);
+        startWrite(bucket, bucket.snapshot.get(), nowNanos, epochMillis, actions);
     }
 
     private void startWrite(
-            ClaimBucketState b, ClaimBucketState.Known known, long nowNanos, long epochMillis, List<ClaimAction> out) {
-        Map<KeyHash, Claim> next = new LinkedHashMap<>(known.claims());
+            ClaimBucketState bucket,
+            ClaimBucketState.Snapshot snapshot,
+            long nowNanos,
+            long epochMillis,
+            List<ClaimAction> actions) {
+        Map<KeyHash, Claim> next = new LinkedHashMap<>(snapshot.claims());
         next.values().removeIf(c -> epochMillis > c.expiresEpochMillis() + CLOCK_MARGIN.toMillis());
-        boolean released = next.values().removeIf(c -> b.releases.contains(c.holder()));
+        boolean released = next.values().removeIf(c -> bucket.releases.contains(c.holder()));
         if (!released) {
-            neverSent.removeAll(b.releases);
-            b.releases.clear();
+            unsentHolders.removeAll(bucket.releases);
+            bucket.releases.clear();
         }
-        List<PendingClaim> inserts = insertAsks(b, next, nowNanos, epochMillis, out);
+        List<PendingClaim> inserts = insertClaims(bucket, next, nowNanos, epochMillis, actions);
         if (inserts.isEmpty() && !released) {
             return;
         }
-        b.writing = List.copyOf(next.values());
-        b.inserting = inserts;
-        b.releasing = List.copyOf(b.releases);
-        b.releases.clear();
-        b.call = ClaimBucketState.Call.WRITE;
-        out.add(new ClaimAction.Write(b.number, known.revision(), b.writing));
+        bucket.writtenClaims = List.copyOf(next.values());
+        bucket.writtenRequests = inserts;
+        bucket.writtenReleases = List.copyOf(bucket.releases);
+        bucket.releases.clear();
+        bucket.outstandingCall = ClaimBucketState.Call.WRITE;
+        actions.add(new ClaimAction.WriteBucket(bucket.number, snapshot.revision(), bucket.writtenClaims));
     }
 
-    private List<PendingClaim> insertAsks(
-            ClaimBucketState b, Map<KeyHash, Claim> next, long nowNanos, long epochMillis, List<ClaimAction> out) {
+    private List<PendingClaim> insertClaims(
+            ClaimBucketState bucket,
+            Map<KeyHash, Claim> next,
+            long nowNanos,
+            long epochMillis,
+            List<ClaimAction> actions) {
         List<PendingClaim> inserts = new ArrayList<>();
-        for (PendingClaim p : b.asks) {
-            Claim present = next.get(p.key);
-            if (present != null && !neverSent.contains(present.holder())) {
-                byAttempt.remove(p.attempt);
-                byKey.remove(p.key);
-                out.add(new ClaimAction.Denied(p.attempt, new Verdict.MayHaveRun(Reason.CLAIMED_BEFORE)));
+        for (PendingClaim pending : bucket.requests) {
+            Claim present = next.get(pending.key);
+            if (present != null && !unsentHolders.contains(present.holder())) {
+                byAttempt.remove(pending.attempt);
+                byKey.remove(pending.key);
+                actions.add(new ClaimAction.DenyClaim(pending.attempt, new Verdict.MayHaveRun(Reason.CLAIMED_BEFORE)));
                 continue;
             }
-            p.claim(window, nowNanos, epochMillis);
-            next.put(p.key, new Claim(p.key, holder(p), p.expiresEpochMillis));
-            inserts.add(p);
+            pending.startWindow(window, nowNanos, epochMillis);
+            next.put(pending.key, new Claim(pending.key, holder(pending), pending.expiresEpochMillis));
+            inserts.add(pending);
         }
-        b.asks.clear();
+        bucket.requests.clear();
         return inserts;
     }
 
@@ -300,16 +309,16 @@
         return buckets.computeIfAbsent(number, ClaimBucketState::new);
     }
 
-    private ClaimHolder holder(PendingClaim p) {
-        return new ClaimHolder(incarnation, p.attempt);
+    private ClaimHolder holder(PendingClaim pending) {
+        return new ClaimHolder(incarnation, pending.attempt);
     }
 
-    private static ClaimAction denied(PendingClaim p, Reason reason, Duration retryAfter) {
-        return new ClaimAction.Denied(p.attempt, new Verdict.NotRun(reason, retryAfter));
+    private static ClaimAction denied(PendingClaim pending, Reason reason, Duration retryAfter) {
+        return new ClaimAction.DenyClaim(pending.attempt, new Verdict.NotRun(reason, retryAfter));
     }
 
     /**
-     * The latest moment at which a call may go out. Immutable.
+     * The latest time at which a call may be sent. Immutable.
      *
      * @param nanos monotonic time in ns
      * @param epochMillis wall-clock time in ms since 1970
--- a/core/src/main/java/org/citrontide/core/claim/KeyHash.java
+++ b/core/src/main/java/org/citrontide/core/claim/KeyHash.java
@@ -12,13 +12,13 @@
  * @param low next 64 bits
  */
 public record KeyHash(long high, long low) {
-    /** Buckets that the keys of one service are spread over. */
+    /** Number of buckets over which the keys of a service are distributed. */
     public static final int BUCKETS = 64;
 
     private static final char SEPARATOR = '\n';
 
     /**
-     * Hashes a key within its service and team.
+     * Returns the hash of an idempotency key, scoped to its service and team.
      *
      * @param service name of the service
      * @param team name of the team
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Returns the bucket that holds the key's claim.
+     * Returns the number of the bucket that stores the claim for this key.
      *
      * @return a number from 0 to {@link #BUCKETS} - 1
      */
--- a/core/src/main/java/org/citrontide/core/claim/PendingClaim.java
+++ b/core/src/main/java/org/citrontide/core/claim/PendingClaim.java
@@ -3,46 +3,46 @@
 import java.time.Duration;
 
 /**
- * An attempt on its way to a claim, and the claim's age once it is held. Not thread-safe.
+ * The state of an attempt that requests or holds a claim. Not thread-safe.
  *
- * <p>Invariant: {@code sinceNanos} is a time before the first write that may have made the claim.
+ * <p>Invariant: {@code sinceNanos} is not later than the first write that may have stored the claim.
  */
 final class PendingClaim {
 
-    /** How far the attempt has come. */
+    /** The stage of the attempt. */
     enum Stage {
-        /** Waits for the platform's service. */
-        ASKED,
-        /** Holds its claim; its call may have gone out. */
+        /** Waits for the platform's store. */
+        REQUESTED,
+        /** Holds its claim; its call may have been sent. */
         GRANTED,
-        /** Was answered before it was granted. */
-        DROPPED
+        /** Ended without a sent call, so that its claim must be released if it exists. */
+        ABANDONED
     }
 
     final long attempt;
     final KeyHash key;
     final long deadlineNanos;
-    Stage stage = Stage.ASKED;
+    Stage stage = Stage.REQUESTED;
 
-    /** Whether a write that holds the claim was sent. */
-    boolean written;
+    /** Whether a write with the claim was sent; the claim may then be stored. */
+    boolean writeSent;
 
     long sinceNanos;
     long expiresEpochMillis;
     Duration window = Duration.ZERO;
 
-    PendingClaim(ClaimEvent.Ask ask) {
-        this.attempt = ask.attempt();
-        this.key = ask.key();
-        this.deadlineNanos = ask.deadlineNanos();
+    PendingClaim(ClaimEvent.ClaimRequested request) {
+        this.attempt = request.attempt();
+        this.key = request.key();
+        this.deadlineNanos = request.deadlineNanos();
     }
 
-    /** Fixes the claim's lifetime at its first write; later writes of the same attempt repeat it. */
-    void claim(Duration newWindow, long nowNanos, long epochMillis) {
-        if (written) {
+    /** Sets the claim's lifetime at its first write; later writes of the same claim keep it. */
+    void startWindow(Duration newWindow, long nowNanos, long epochMillis) {
+        if (writeSent) {
             return;
         }
-        written = true;
+        writeSent = true;
         sinceNanos = nowNanos;
         window = newWindow;
         expiresEpochMillis = epochMillis + newWindow.toMillis();
--- /dev/null
+++ b/core/src/main/java/org/citrontide/core/claim/StoredResponse.java
@@ -0,0 +1,10 @@
+package org.citrontide.core.claim;
+
+/**
+ * A complete response kept for requests that repeat the same key. Immutable; the array must not be changed.
+ *
+ * @param status HTTP status
+ * @param contentType media type, empty if unknown
+ * @param body the whole body
+ */
+public record StoredResponse(int status, String contentType, byte[] body) {}
--- a/core/src/main/java/org/citrontide/core/gate/CallOutcome.java
+++ b/core/src/main/java/org/citrontide/core/gate/CallOutcome.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-import org.citrontide.core.claim.StoredAnswer;
+import org.citrontide.core.claim.StoredResponse;
 import org.citrontide.core.verdict.Reason;
 
 /** How a call to the upstream ended. Immutable. */
@@ -15,7 +15,7 @@
      * @param length length of the body in bytes
      * @param answer the whole answer, if it is small enough to be kept
      */
-    record Answered(int status, long length, Optional<StoredAnswer> answer) implements CallOutcome {}
+    record Answered(int status, long length, Optional<StoredResponse> answer) implements CallOutcome {}
 
     /**
      * No byte of the request left this process.
--- a/core/src/main/java/org/citrontide/core/gate/GateAction.java
+++ b/core/src/main/java/org/citrontide/core/gate/GateAction.java
@@ -1,7 +1,7 @@
 package org.citrontide.core.gate;
 
 import org.citrontide.core.claim.ClaimAction;
-import org.citrontide.core.claim.StoredAnswer;
+import org.citrontide.core.claim.StoredResponse;
 import org.citrontide.core.verdict.Verdict;
 
 /** What a {@link SidecarGate} asks of its shell. Immutable. */
@@ -38,7 +38,7 @@
      * @param id number of the attempt
      * @param answer the answer
      */
-    record Replay(long id, StoredAnswer answer) implements GateAction {}
+    record Replay(long id, StoredResponse answer) implements GateAction {}
 
     /**
      * Call the platform's service.
--- a/core/src/main/java/org/citrontide/core/gate/SidecarGate.java
+++ b/core/src/main/java/org/citrontide/core/gate/SidecarGate.java
@@ -198,7 +198,7 @@
             }
             if (!slot.started) {
                 slots.remove(id);
-                claim(new ClaimEvent.NeverSent(id));
+                claim(new ClaimEvent.CallNotSent(id));
                 refuse(id, Reason.CANCELLED, Duration.ZERO);
             } else if (slot.request.repeatable()) {
                 slot.cancelled = true;
@@ -217,20 +217,20 @@
                     learnServiceTime(slot);
                     out.add(new GateAction.End(id, new Verdict.Completed(a.status()), a.length()));
                     if (claimed) {
-                        claim(new ClaimEvent.Finished(id, a.answer()));
+                        claim(new ClaimEvent.CallFinished(id, a.answer()));
                     }
                 }
                 case CallOutcome.NeverSent n -> {
                     refuse(id, n.reason(), LEAST_RETRY_AFTER);
                     if (claimed) {
-                        claim(new ClaimEvent.NeverSent(id));
+                        claim(new ClaimEvent.CallNotSent(id));
                     }
                 }
                 case CallOutcome.Lost l -> {
                     Reason reason = slot.cancelled ? Reason.CANCELLED : l.reason();
                     out.add(new GateAction.End(id, new Verdict.MayHaveRun(reason), 0));
                     if (claimed) {
-                        claim(new ClaimEvent.Finished(id, Optional.empty()));
+                        claim(new ClaimEvent.CallFinished(id, Optional.empty()));
                     }
                 }
             }
@@ -245,16 +245,16 @@
         private void claim(ClaimEvent event) {
             for (ClaimAction a : ledger.on(event, nowNanos, epochMillis)) {
                 switch (a) {
-                    case ClaimAction.Read r -> out.add(new GateAction.ClaimCall(r));
-                    case ClaimAction.Write w -> out.add(new GateAction.ClaimCall(w));
-                    case ClaimAction.Granted g -> granted(g.attempt());
-                    case ClaimAction.Denied d -> {
+                    case ClaimAction.ReadBucket r -> out.add(new GateAction.ClaimCall(r));
+                    case ClaimAction.WriteBucket w -> out.add(new GateAction.ClaimCall(w));
+                    case ClaimAction.GrantClaim g -> granted(g.attempt());
+                    case ClaimAction.DenyClaim d -> {
                         slots.remove(d.attempt());
                         out.add(new GateAction.End(d.attempt(), d.verdict(), 0));
                     }
-                    case ClaimAction.Replay r -> {
+                    case ClaimAction.ReplayResponse r -> {
                         slots.remove(r.attempt());
-                        out.add(new GateAction.Replay(r.attempt(), r.answer()));
+                        out.add(new GateAction.Replay(r.attempt(), r.response()));
                     }
                 }
             }
@@ -321,7 +321,7 @@
             Slot slot = new Slot(r, nowNanos);
             slots.put(r.id(), slot);
             if (r.needsClaim()) {
-                claim(new ClaimEvent.Ask(
+                claim(new ClaimEvent.ClaimRequested(
                         r.id(), r.key().orElseThrow(), r.waiting().deadlineNanos()));
                 return;
             }
--- a/core/src/test/java/org/citrontide/core/faults/FakeClaimStore.java
+++ b/core/src/test/java/org/citrontide/core/faults/FakeClaimStore.java
@@ -17,11 +17,11 @@
 
     ClaimEvent carryOut(ClaimAction call) {
         return switch (call) {
-            case ClaimAction.Read r -> {
+            case ClaimAction.ReadBucket r -> {
                 Stored s = buckets.getOrDefault(r.bucket(), new Stored(0, List.of()));
                 yield new ClaimEvent.BucketRead(r.bucket(), s.revision(), s.claims());
             }
-            case ClaimAction.Write w -> {
+            case ClaimAction.WriteBucket w -> {
                 Stored s = buckets.getOrDefault(w.bucket(), new Stored(0, List.of()));
                 if (s.revision() != w.expectedRevision()) {
                     yield new ClaimEvent.BucketConflict(w.bucket());
@@ -34,7 +34,7 @@
     }
 
     static int bucket(ClaimAction call) {
-        return call instanceof ClaimAction.Read r ? r.bucket() : ((ClaimAction.Write) call).bucket();
+        return call instanceof ClaimAction.ReadBucket r ? r.bucket() : ((ClaimAction.WriteBucket) call).bucket();
     }
 
     private record Stored(long revision, List<Claim> claims) {}
--- a/core/src/test/java/org/citrontide/core/faults/FakeSidecar.java
+++ b/core/src/test/java/org/citrontide/core/faults/FakeSidecar.java
@@ -11,7 +11,7 @@
 import org.citrontide.core.claim.ClaimAction;
 import org.citrontide.core.claim.ClaimEvent;
 import org.citrontide.core.claim.KeyHash;
-import org.citrontide.core.claim.StoredAnswer;
+import org.citrontide.core.claim.StoredResponse;
 import org.citrontide.core.dispatch.DispatchEvent;
 import org.citrontide.core.gate.AttemptSequence;
 import org.citrontide.core.gate.CallOutcome;
@@ -185,13 +185,13 @@
             offset += bytes.length;
             whole.append(c);
         }
-        StoredAnswer kept = new StoredAnswer(200, type, whole.toString().getBytes(StandardCharsets.UTF_8));
+        StoredResponse kept = new StoredResponse(200, type, whole.toString().getBytes(StandardCharsets.UTF_8));
         step(new GateEvent.Ended(number, new CallOutcome.Answered(200, offset, Optional.of(kept))));
     }
 
     private void replay(GateAction.Replay r) {
         Open o = open.remove(r.id());
-        StoredAnswer a = r.answer();
+        StoredResponse a = r.answer();
         answer(Step.ANSWER_HEAD, o, new DispatchEvent.Head(o.attempt(), a.status(), a.contentType()));
         answer(Step.ANSWER_CHUNK, o, new DispatchEvent.Chunk(o.attempt(), 0, a.body()));
         answer(Step.ANSWER_END, o, new DispatchEvent.Ended(o.attempt(), new Verdict.Completed(200), a.body().length));
@@ -202,7 +202,7 @@
     }
 
     private void claimCall(ClaimAction call) {
-        Step step = call instanceof ClaimAction.Read ? Step.CLAIM_READ : Step.CLAIM_WRITE;
+        Step step = call instanceof ClaimAction.ReadBucket ? Step.CLAIM_READ : Step.CLAIM_WRITE;
         int bucket = FakeClaimStore.bucket(call);
         int start = starts;
         boolean[] answered = new boolean[1];
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/ClaimStore.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/ClaimStore.java
@@ -28,7 +28,7 @@
         this.service = service;
     }
 
-    CompletableFuture<ClaimEvent> read(ClaimAction.Read r) {
+    CompletableFuture<ClaimEvent> read(ClaimAction.ReadBucket r) {
         return store.get(key(r.bucket())).thenApply(reply -> switch (reply) {
             case StoreReply.Value v -> decoded(r.bucket(), v);
             case StoreReply.Missing m -> new ClaimEvent.BucketRead(r.bucket(), 0, List.of());
@@ -36,7 +36,7 @@
         });
     }
 
-    CompletableFuture<ClaimEvent> write(ClaimAction.Write w) {
+    CompletableFuture<ClaimEvent> write(ClaimAction.WriteBucket w) {
         return store.put(key(w.bucket()), w.expectedRevision(), ClaimCodec.encode(w.claims()))
                 .thenApply(reply -> switch (reply) {
                     case StoreReply.Written x -> new ClaimEvent.BucketWritten(w.bucket(), x.revision());
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
@@ -12,7 +12,7 @@
 import com.google.protobuf.UnsafeByteOperations;
 import org.citrontide.core.claim.ClaimAction;
 import org.citrontide.core.claim.KeyHash;
-import org.citrontide.core.claim.StoredAnswer;
+import org.citrontide.core.claim.StoredResponse;
 import org.citrontide.core.gate.AttemptSequence;
 import org.citrontide.core.gate.CallOutcome;
 import org.citrontide.core.gate.GateAction;
@@ -238,11 +238,11 @@
 
     private void claimCall(ClaimAction call) {
         switch (call) {
-            case ClaimAction.Read r -> {
+            case ClaimAction.ReadBucket r -> {
                 metrics.storeCall("read");
                 claims.read(r).thenAccept(e -> duty.put(new SidecarEvent.ForGate(new GateEvent.ClaimAnswered(e))));
             }
-            case ClaimAction.Write w -> {
+            case ClaimAction.WriteBucket w -> {
                 metrics.storeCall("write");
                 claims.write(w).thenAccept(e -> duty.put(new SidecarEvent.ForGate(new GateEvent.ClaimAnswered(e))));
             }
@@ -252,7 +252,7 @@
 
     private void replay(GateAction.Replay r) {
         Open o = open.get(r.id());
-        StoredAnswer a = r.answer();
+        StoredResponse a = r.answer();
         Forwarder f = new Forwarder(r.id(), o);
         f.head(a.status(), a.contentType());
         if (a.body().length > 0) {
--- a/sidecar/src/main/java/org/citrontide/sidecar/upstream/UpstreamCall.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/upstream/UpstreamCall.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-import org.citrontide.core.claim.StoredAnswer;
+import org.citrontide.core.claim.StoredResponse;
 import org.citrontide.core.gate.CallOutcome;
 import org.citrontide.core.verdict.Reason;
 import org.eclipse.jetty.client.Request;
@@ -154,8 +154,8 @@
             length = offset;
         }
         if (result.isSucceeded()) {
-            Optional<StoredAnswer> answer = keepAnswer && kept.size() == length
-                    ? Optional.of(new StoredAnswer(status, contentType, kept.toByteArray()))
+            Optional<StoredResponse> answer = keepAnswer && kept.size() == length
+                    ? Optional.of(new StoredResponse(status, contentType, kept.toByteArray()))
                     : Optional.empty();
             listener.ended(new CallOutcome.Answered(status, length, answer));
         } else if (begun.get()) {
