--- a/cli/src/main/java/org/citrontide/cli/PublishCommand.java
+++ b/cli/src/main/java/org/citrontide/cli/PublishCommand.java
@@ -16,8 +16,8 @@
 import org.citrontide.core.publication.Head;
 import org.citrontide.core.publication.PublicationAction;
 import org.citrontide.core.publication.PublicationEvent;
-import org.citrontide.core.publication.PublicationMachine;
 import org.citrontide.core.publication.PublicationResult;
+import org.citrontide.core.publication.PublicationStateMachine;
 import org.citrontide.core.toml.Checked;
 import org.citrontide.store.client.StoreClient;
 import org.citrontide.store.client.StoreReply;
@@ -65,10 +65,10 @@
             changes.put(line.getOptionValue(REMOVE), Optional.empty());
         }
         String id = UUID.randomUUID().toString();
-        return report(id, publish(Stores.connect(line), new PublicationMachine(id, changes)));
+        return report(id, publish(Stores.connect(line), new PublicationStateMachine(id, changes)));
     }
 
-    private static PublicationResult publish(StoreClient store, PublicationMachine machine) {
+    private static PublicationResult publish(StoreClient store, PublicationStateMachine machine) {
         PublicationAction action = machine.start();
         while (true) {
             if (action instanceof PublicationAction.Finish f) {
@@ -136,7 +136,7 @@
                 yield ExitCode.DONE;
             }
             case PublicationResult.Conflict c -> {
-                System.err.println("conflict: publication " + c.rivalPublicationId() + " changed " + c.file()
+                System.err.println("conflict: publication " + c.otherPublicationId() + " changed " + c.file()
                         + " meanwhile; nothing was changed");
                 yield ExitCode.REFUSED;
             }
--- a/core/src/main/java/org/citrontide/core/publication/CallRule.java
+++ b/core/src/main/java/org/citrontide/core/publication/CallRule.java
@@ -1,23 +1,23 @@
 package org.citrontide.core.publication;
 
 /**
- * How calls of one method and path prefix are treated. Immutable.
+ * The rule for calls with a given method and path prefix. Immutable.
  *
  * @param method HTTP method in upper case
- * @param path prefix of the path, from its first slash
- * @param repeatable whether running the call twice does no harm
- * @param urgency the most urgent class that a call may ask for, and its class if it asks for none
+ * @param path prefix of the path, with its leading slash
+ * @param repeatable whether the call is idempotent, so that it may be executed more than once
+ * @param urgency the most urgent class that a call may request, and the default class of a call that requests none
  */
 public record CallRule(String method, String path, boolean repeatable, Urgency urgency) {
 
     /**
-     * Says whether this rule covers a call.
+     * Returns whether this rule applies to a call.
      *
      * @param otherMethod HTTP method
      * @param otherPath path of the call
-     * @return true if the method is equal and the path begins with this rule's path
+     * @return true if the methods are equal and the path starts with this rule's path, at a segment boundary
      */
-    public boolean covers(String otherMethod, String otherPath) {
+    public boolean matches(String otherMethod, String otherPath) {
         if (!method.equals(otherMethod) || !otherPath.startsWith(path)) {
             return false;
         }
--- a/core/src/main/java/org/citrontide/core/publication/ClassRule.java
+++ b/core/src/main/java/org/citrontide/core/publication/ClassRule.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 
 /**
- * What one urgency class of a service is due. Immutable.
+ * The guarantees of an urgency class of a service. Immutable.
  *
- * @param target time within which an answer is of use; also the default deadline
- * @param guaranteedPercent share of an upstream that the class keeps while other classes flood, in percent
+ * @param target target latency of a response; also the default deadline
+ * @param guaranteedPercent minimum share of an upstream that the class keeps under load of other classes, in percent
  */
 public record ClassRule(Duration target, int guaranteedPercent) {}
--- a/core/src/main/java/org/citrontide/core/publication/Configuration.java
+++ b/core/src/main/java/org/citrontide/core/publication/Configuration.java
@@ -11,9 +11,9 @@
 import org.citrontide.core.toml.Violation;
 
 /**
- * One version of the whole configuration: every published file, validated. Immutable.
+ * A version of the whole configuration: all published files, validated. Immutable.
  *
- * @param version number of the version, growing with each publication
+ * @param version number of the version, which increases with each publication
  * @param files the files by name
  * @param services services by name
  * @param teamsByTokenHash team names by the SHA-256 of their tokens
@@ -25,14 +25,14 @@
         Map<String, String> teamsByTokenHash) {
 
     /**
-     * One file at one version. Immutable.
+     * The content of a file at a version. Immutable.
      *
      * @param version version of the configuration that last changed the file
      * @param text content of the file
      */
     public record FileText(long version, String text) {}
 
-    /** The configuration of a process that has none yet. */
+    /** The empty configuration of a process that has not installed one yet. */
     public static final Configuration NONE = new Configuration(0, Map.of(), Map.of(), Map.of());
 
     /** Copies the maps. */
@@ -47,7 +47,7 @@
      *
      * @param version number of the version
      * @param files the files by name
-     * @return the configuration, or every mistake in every file
+     * @return the configuration, or the violations of all files
      */
     public static Checked<Configuration> check(long version, Map<String, FileText> files) {
         List<Violation> violations = new ArrayList<>();
@@ -74,19 +74,19 @@
         switch (published) {
             case ServiceFile s -> {
                 if (services.put(s.service(), s) != null) {
-                    violations.add(twice(file, "service", "\"" + s.service() + "\" again"));
+                    violations.add(duplicate(file, "service", "duplicate \"" + s.service() + "\""));
                 }
             }
             case TeamsFile t ->
                 t.teamsByTokenHash().forEach((hash, team) -> {
                     if (teams.put(hash, team) != null) {
-                        violations.add(twice(file, "teams", "a token of team \"" + team + "\" again"));
+                        violations.add(duplicate(file, "teams", "a duplicate token of team \"" + team + "\""));
                     }
                 });
         }
     }
 
-    private static Violation twice(String file, String key, String found) {
-        return new Violation(file, 0, 0, key, Violation.Kind.CONTRADICTION, found, "each one in a single file");
+    private static Violation duplicate(String file, String key, String found) {
+        return new Violation(file, 0, 0, key, Violation.Kind.CONTRADICTION, found, "a value unique across all files");
     }
 }
--- a/core/src/main/java/org/citrontide/core/publication/FileCheck.java
+++ b/core/src/main/java/org/citrontide/core/publication/FileCheck.java
@@ -15,19 +15,19 @@
 import org.citrontide.core.toml.Violation;
 
 /**
- * Validates the files that operators publish. The {@code check} command and the install in every process both run this
- * class, so that a bad file never gets in force.
+ * Validates the files that operators publish. Both the {@code check} command and each process that installs a
+ * configuration use this class, so that an invalid file is never put in force.
  *
- * <p>Stateless and safe for use by many threads.
+ * <p>Stateless and thread-safe.
  */
 public final class FileCheck {
-    /** Longest file in bytes. */
+    /** Maximum size of a file in bytes. */
     public static final int MAX_FILE_BYTES = 64 * 1024;
 
     private static final Pattern NAME = Pattern.compile("[a-z][a-z0-9-]{0,62}");
     private static final Pattern SHA256_HEX = Pattern.compile("[0-9a-f]{64}");
-    private static final String NAME_EXPECTED = "a name of lower-case letters, digits and hyphens, 63 at most";
-    private static final List<String> METHODS = List.of("GET", "POST", "PUT", "DELETE");
+    private static final String EXPECTED_NAME = "a name of lower-case letters, digits and hyphens, 63 at most";
+    private static final List<String> ALLOWED_METHODS = List.of("GET", "POST", "PUT", "DELETE");
     private static final String DEFAULT_METHOD = "POST";
     private static final int MAX_TEAM_WEIGHT = 1000;
     private static final int MAX_TARGET_MS = 86_400_000;
@@ -36,29 +36,29 @@
     private static final int DEFAULT_OVERNIGHT_TARGET_MS = 3_600_000;
     private static final int DEFAULT_DAILY_PERCENT = 10;
     private static final int DEFAULT_OVERNIGHT_PERCENT = 5;
-    private static final int FULL_PERCENT = 100;
-    private static final int LEAST_TIMEOUT_MS = 10;
+    private static final int MAX_PERCENT = 100;
+    private static final int MIN_TIMEOUT_MS = 10;
     private static final int DEFAULT_TIMEOUT_MS = 60_000;
-    private static final int LEAST_WINDOW_S = 60;
+    private static final int MIN_WINDOW_S = 60;
     private static final int MAX_WINDOW_S = 2_592_000;
     private static final int DEFAULT_WINDOW_S = 86_400;
     private static final int MAX_QUEUE_LENGTH = 100_000;
     private static final int DEFAULT_QUEUE_LENGTH = 200;
     private static final int MAX_SLOTS = 10_000;
     private static final int DEFAULT_SLOTS = 8;
-    private static final int LIVE_PART = 4;
+    private static final int DEFAULT_LIVE_SLOTS_DIVISOR = 4;
     private static final int DEFAULT_RETRY_PERCENT = 10;
     private static final int MAX_BODY_BYTES = 4 * 1024 * 1024;
-    private static final int DEFAULT_BODY_BYTES = 1024 * 1024;
+    private static final int DEFAULT_MAX_BODY_BYTES = 1024 * 1024;
 
     private FileCheck() {}
 
     /**
-     * Validates one file.
+     * Validates a file.
      *
      * @param file name used in messages
      * @param text content of the file
-     * @return the file's meaning, or every mistake in it
+     * @return the parsed file, or all of its violations
      */
     public static Checked<PublishedFile> check(String file, String text) {
         if (text.length() > MAX_FILE_BYTES) {
@@ -75,33 +75,33 @@
         TomlSection root = TomlSection.parse(file, text);
         FileKind kind = root.word("kind", FileKind.class, Optional.empty());
         return switch (kind) {
-            case MODEL -> service(root, ServiceFile.Kind.MODEL);
-            case PLAIN -> service(root, ServiceFile.Kind.PLAIN);
-            case TEAMS -> teams(root);
+            case MODEL -> serviceFile(root, ServiceFile.Kind.MODEL);
+            case PLAIN -> serviceFile(root, ServiceFile.Kind.PLAIN);
+            case TEAMS -> teamsFile(root);
         };
     }
 
-    private static Checked<PublishedFile> service(TomlSection root, ServiceFile.Kind kind) {
-        String name = name(root, "service");
+    private static Checked<PublishedFile> serviceFile(TomlSection root, ServiceFile.Kind kind) {
+        String name = requireName(root, "service");
         List<CallRule> calls = new ArrayList<>();
-        root.sections("calls").forEach(s -> calls.add(call(s)));
+        root.sections("calls").forEach(s -> calls.add(callRule(s)));
         if (calls.isEmpty()) {
             root.report("calls", Violation.Kind.MISSING_KEY, "no call", "at least one [[calls]] table");
         }
         Map<Urgency, ClassRule> classes = classes(root);
-        Map<String, Integer> weights = weights(root);
+        Map<String, Integer> weights = teamWeights(root);
         ServiceFile.Limits limits = limits(root);
         return root.finish(() -> new ServiceFile(name, kind, calls, classes, weights, limits));
     }
 
-    private static CallRule call(TomlSection s) {
+    private static CallRule callRule(TomlSection s) {
         String method = s.optionalString("method").orElse(DEFAULT_METHOD);
-        if (!METHODS.contains(method)) {
+        if (!ALLOWED_METHODS.contains(method)) {
             s.report(
                     "method",
                     Violation.Kind.OUT_OF_RANGE,
                     "\"" + method + "\"",
-                    "one of " + String.join(", ", METHODS));
+                    "one of " + String.join(", ", ALLOWED_METHODS));
         }
         String path = s.requireString("path");
         if (!path.isEmpty() && !path.startsWith("/")) {
@@ -124,27 +124,27 @@
             return rules;
         }
         for (Urgency u : Urgency.values()) {
-            table.get().section(u.word()).ifPresent(s -> rules.put(u, classRule(s, rules.get(u))));
+            table.get().section(u.externalName()).ifPresent(s -> rules.put(u, classRule(s, rules.get(u))));
         }
         int sum = rules.values().stream().mapToInt(ClassRule::guaranteedPercent).sum();
-        if (sum > FULL_PERCENT) {
+        if (sum > MAX_PERCENT) {
             root.report(
                     "classes",
                     Violation.Kind.CONTRADICTION,
-                    "guaranteed_percent of " + sum + " in all",
-                    "a sum of at most " + FULL_PERCENT);
+                    "guaranteed_percent of " + sum + " in total",
+                    "a sum of at most " + MAX_PERCENT);
         }
         return rules;
     }
 
-    private static ClassRule classRule(TomlSection s, ClassRule fallback) {
+    private static ClassRule classRule(TomlSection s, ClassRule defaults) {
         Duration target = s.milliseconds(
-                "target_ms", 1, MAX_TARGET_MS, (int) fallback.target().toMillis());
-        int percent = s.integer("guaranteed_percent", 0, FULL_PERCENT, fallback.guaranteedPercent());
+                "target_ms", 1, MAX_TARGET_MS, (int) defaults.target().toMillis());
+        int percent = s.integer("guaranteed_percent", 0, MAX_PERCENT, defaults.guaranteedPercent());
         return new ClassRule(target, percent);
     }
 
-    private static Map<String, Integer> weights(TomlSection root) {
+    private static Map<String, Integer> teamWeights(TomlSection root) {
         Map<String, Integer> weights = new HashMap<>();
         Optional<TomlSection> table = root.section("team_weights");
         if (table.isEmpty()) {
@@ -158,14 +158,13 @@
 
     private static ServiceFile.Limits limits(TomlSection root) {
         TomlSection s = root.section("limits").orElse(TomlSection.parse("", ""));
-        Duration timeout = s.milliseconds("timeout_ms", LEAST_TIMEOUT_MS, MAX_TARGET_MS, DEFAULT_TIMEOUT_MS);
-        Duration window =
-                Duration.ofSeconds(s.integer("claim_window_s", LEAST_WINDOW_S, MAX_WINDOW_S, DEFAULT_WINDOW_S));
+        Duration timeout = s.milliseconds("timeout_ms", MIN_TIMEOUT_MS, MAX_TARGET_MS, DEFAULT_TIMEOUT_MS);
+        Duration window = Duration.ofSeconds(s.integer("claim_window_s", MIN_WINDOW_S, MAX_WINDOW_S, DEFAULT_WINDOW_S));
         if (timeout.compareTo(window.minus(ClaimLedger.CLOCK_MARGIN.multipliedBy(2))) > 0) {
             s.report(
                     "claim_window_s",
                     Violation.Kind.CONTRADICTION,
-                    window.toSeconds() + " s beside a timeout of " + timeout.toMillis() + " ms",
+                    window.toSeconds() + " s with a timeout of " + timeout.toMillis() + " ms",
                     "at least the timeout and twice the clock margin of " + ClaimLedger.CLOCK_MARGIN.toSeconds()
                             + " s");
         }
@@ -174,16 +173,16 @@
                 timeout,
                 s.integer("queue_length", 1, MAX_QUEUE_LENGTH, DEFAULT_QUEUE_LENGTH),
                 slots,
-                s.integer("live_slots", 0, slots - 1, slots / LIVE_PART),
-                s.integer("retry_percent", 0, FULL_PERCENT, DEFAULT_RETRY_PERCENT),
-                s.integer("max_body_bytes", 1, MAX_BODY_BYTES, DEFAULT_BODY_BYTES),
+                s.integer("live_slots", 0, slots - 1, slots / DEFAULT_LIVE_SLOTS_DIVISOR),
+                s.integer("retry_percent", 0, MAX_PERCENT, DEFAULT_RETRY_PERCENT),
+                s.integer("max_body_bytes", 1, MAX_BODY_BYTES, DEFAULT_MAX_BODY_BYTES),
                 window);
     }
 
-    private static Checked<PublishedFile> teams(TomlSection root) {
+    private static Checked<PublishedFile> teamsFile(TomlSection root) {
         Map<String, String> byHash = new HashMap<>();
         for (TomlSection s : root.sections("teams")) {
-            String name = name(s, "name");
+            String name = requireName(s, "name");
             String hash = s.requireString("token_sha256");
             if (!hash.isEmpty() && !SHA256_HEX.matcher(hash).matches()) {
                 s.report(
@@ -193,16 +192,16 @@
                         "64 lower-case hexadecimal digits");
             }
             if (byHash.put(hash, name) != null) {
-                s.report("token_sha256", Violation.Kind.CONTRADICTION, "a hash given before", "one team per token");
+                s.report("token_sha256", Violation.Kind.CONTRADICTION, "a duplicate hash", "one team per token");
             }
         }
         return root.finish(() -> new TeamsFile(byHash));
     }
 
-    private static String name(TomlSection s, String key) {
+    private static String requireName(TomlSection s, String key) {
         String name = s.requireString(key);
         if (!name.isEmpty() && !NAME.matcher(name).matches()) {
-            s.report(key, Violation.Kind.OUT_OF_RANGE, "\"" + name + "\"", NAME_EXPECTED);
+            s.report(key, Violation.Kind.OUT_OF_RANGE, "\"" + name + "\"", EXPECTED_NAME);
         }
         return name;
     }
--- a/core/src/main/java/org/citrontide/core/publication/PublicationAction.java
+++ b/core/src/main/java/org/citrontide/core/publication/PublicationAction.java
@@ -2,25 +2,25 @@
 
 import java.time.Duration;
 
-/** What a {@link PublicationMachine} asks of its shell: one call at a time. Immutable. */
+/** An action that a {@link PublicationStateMachine} requests from its caller, one at a time. Immutable. */
 public sealed interface PublicationAction {
 
     /**
-     * Read the head.
+     * Reads the head.
      *
-     * @param delay time to wait before
+     * @param delay time to wait before the read
      */
     record ReadHead(Duration delay) implements PublicationAction {}
 
     /**
-     * Read a file's content.
+     * Reads a file's content.
      *
      * @param hash its hash
      */
     record ReadFile(String hash) implements PublicationAction {}
 
     /**
-     * Write a file's content under its hash.
+     * Writes a file's content under its hash.
      *
      * @param hash its hash
      * @param text its content
@@ -28,17 +28,17 @@
     record WriteFile(String hash, String text) implements PublicationAction {}
 
     /**
-     * Replace the head by compare-and-swap.
+     * Replaces the head by compare-and-swap.
      *
-     * @param expectedRevision revision the head must have, 0 if it must not exist
+     * @param expectedRevision revision that the head must have, 0 if it must not exist
      * @param head the new head
      */
     record WriteHead(long expectedRevision, Head head) implements PublicationAction {}
 
     /**
-     * The publication has ended.
+     * Ends the publication.
      *
-     * @param result how
+     * @param result outcome of the publication
      */
     record Finish(PublicationResult result) implements PublicationAction {}
 }
--- a/core/src/main/java/org/citrontide/core/publication/PublicationEvent.java
+++ b/core/src/main/java/org/citrontide/core/publication/PublicationEvent.java
@@ -1,12 +1,12 @@
 package org.citrontide.core.publication;
 
-/** What happens to a {@link PublicationMachine}. Immutable. */
+/** An input event of a {@link PublicationStateMachine}. Immutable. */
 public sealed interface PublicationEvent {
 
     /**
      * The head was read.
      *
-     * @param revision revision of the value, 0 if there is none
+     * @param revision revision of the head, 0 if there is none
      * @param head the head
      */
     record HeadRead(long revision, Head head) implements PublicationEvent {}
@@ -20,7 +20,7 @@
     record FileRead(String hash, String text) implements PublicationEvent {}
 
     /**
-     * A file's content is in the store.
+     * A file's content was written to the store.
      *
      * @param hash its hash
      */
@@ -29,13 +29,13 @@
     /** The head was replaced. */
     record HeadWritten() implements PublicationEvent {}
 
-    /** The head was not replaced, because its revision was another one. */
+    /** The head was not replaced, because its revision did not match the expected one. */
     record HeadConflict() implements PublicationEvent {}
 
     /**
-     * A call got no answer, or an error.
+     * A call failed or got no response.
      *
-     * @param mayHaveTakenEffect whether it may have been carried out all the same
+     * @param mayHaveTakenEffect whether the call may have taken effect despite the failure
      */
     record CallFailed(boolean mayHaveTakenEffect) implements PublicationEvent {}
 }
--- a/core/src/main/java/org/citrontide/core/publication/PublicationResult.java
+++ b/core/src/main/java/org/citrontide/core/publication/PublicationResult.java
@@ -4,7 +4,7 @@
 
 import org.citrontide.core.toml.Violation;
 
-/** How a publication ended. Immutable. */
+/** The outcome of a publication. Immutable. */
 public sealed interface PublicationResult {
 
     /**
@@ -15,31 +15,31 @@
     record Published(long version) implements PublicationResult {}
 
     /**
-     * The same content is in force already.
+     * The same content was already in force; nothing was changed.
      *
      * @param version the version in force
      */
     record Unchanged(long version) implements PublicationResult {}
 
     /**
-     * Another publication changed the same file meanwhile; nothing was changed.
+     * Another publication changed the same file concurrently; nothing was changed.
      *
-     * @param file the file
-     * @param rivalPublicationId the other publication
+     * @param file name of the file
+     * @param otherPublicationId identifier of the other publication
      */
-    record Conflict(String file, String rivalPublicationId) implements PublicationResult {}
+    record Conflict(String file, String otherPublicationId) implements PublicationResult {}
 
     /**
      * The files together with those in force are not valid; nothing was changed.
      *
-     * @param violations the mistakes
+     * @param violations the violations found
      */
     record Invalid(List<Violation> violations) implements PublicationResult {}
 
     /**
-     * The platform's service did not answer.
+     * The platform's store did not respond.
      *
-     * @param mayHaveTakenEffect whether the files may be in force all the same
+     * @param mayHaveTakenEffect whether the publication may have taken effect despite the failure
      */
     record Unreachable(boolean mayHaveTakenEffect) implements PublicationResult {}
 }
--- a/core/src/main/java/org/citrontide/core/publication/PublicationMachine.java
+++ b/core/src/main/java/org/citrontide/core/publication/PublicationStateMachine.java
@@ -17,42 +17,42 @@
 import org.citrontide.core.toml.Checked;
 
 /**
- * Puts a set of files in force by one compare-and-swap on the head.
+ * Publishes a set of file changes atomically, by one compare-and-swap on the head.
  *
  * <p>Invariants:
  *
  * <ul>
- *   <li>Every file's content is written before a head that names it.
+ *   <li>The content of each file is written before a head that refers to it.
  *   <li>A file that another publication changed since this one first read the head is never overwritten.
  *   <li>The whole configuration is validated before each write of the head.
- *   <li>A write of the head with a lost answer is settled by finding this publication's id in the head.
+ *   <li>After a write of the head with an unknown outcome, the publication succeeded if the head contains its id.
  * </ul>
  *
- * <p>One action at a time is outstanding; its outcome is the next event. Not thread-safe; it does no I/O.
+ * <p>At most one action is outstanding; its outcome is the next event. Not thread-safe; it does no I/O.
  */
-public final class PublicationMachine {
+public final class PublicationStateMachine {
     private static final int MAX_FAILURES = 4;
-    private static final Duration FIRST_DELAY = Duration.ofMillis(100);
+    private static final Duration BASE_RETRY_DELAY = Duration.ofMillis(100);
 
     private final String id;
     private final Map<String, Optional<String>> changes;
     private final Map<String, String> textByHash = new HashMap<>();
     private final Set<String> writtenHashes = new HashSet<>();
     private final Deque<String> hashesToRead = new ArrayDeque<>();
-    private Optional<Head> base = Optional.empty();
-    private Head current = Head.EMPTY;
-    private long revision;
+    private Optional<Head> baseHead = Optional.empty();
+    private Head currentHead = Head.EMPTY;
+    private long headRevision;
     private int failures;
     private boolean headMayBeWritten;
     private boolean headWriteOutstanding;
 
     /**
-     * Prepares a publication.
+     * Creates a publication that has not started.
      *
-     * @param id random identifier, never used before
-     * @param changes new content by file name, or empty to remove the file
+     * @param id random identifier, unique to this publication
+     * @param changes new content by file name, empty to remove the file
      */
-    public PublicationMachine(String id, Map<String, Optional<String>> changes) {
+    public PublicationStateMachine(String id, Map<String, Optional<String>> changes) {
         this.id = id;
         this.changes = new TreeMap<>(changes);
         for (Optional<String> text : changes.values()) {
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Returns the hash under which a content is stored.
+     * Returns the hash under which a file's content is stored.
      *
      * @param text the content
      * @return lower-case hexadecimal SHA-256
@@ -80,89 +80,93 @@
     }
 
     /**
-     * Takes the outcome of the last action.
+     * Handles the outcome of the last action.
      *
-     * @param event what happened
+     * @param event outcome of the last action
      * @return the next action
      */
     public PublicationAction on(PublicationEvent event) {
         return switch (event) {
-            case PublicationEvent.HeadRead h -> headRead(h);
+            case PublicationEvent.HeadRead h -> handleHeadRead(h);
             case PublicationEvent.FileRead f -> {
                 textByHash.put(f.hash(), f.text());
-                yield prepare();
+                yield nextStep();
             }
             case PublicationEvent.FileWritten f -> {
                 writtenHashes.add(f.hash());
-                yield prepare();
+                yield nextStep();
             }
-            case PublicationEvent.HeadWritten w -> finish(new PublicationResult.Published(current.version() + 1));
+            case PublicationEvent.HeadWritten w -> finish(new PublicationResult.Published(currentHead.version() + 1));
             case PublicationEvent.HeadConflict c -> {
                 headWriteOutstanding = false;
                 yield new PublicationAction.ReadHead(Duration.ZERO);
             }
-            case PublicationEvent.CallFailed f -> failed(f);
+            case PublicationEvent.CallFailed f -> handleCallFailed(f);
         };
     }
 
-    private PublicationAction headRead(PublicationEvent.HeadRead read) {
-        current = read.head();
-        revision = read.revision();
-        Optional<Long> own = ownVersion();
-        if (own.isPresent()) {
-            return finish(new PublicationResult.Published(own.get()));
+    private PublicationAction handleHeadRead(PublicationEvent.HeadRead event) {
+        currentHead = event.head();
+        headRevision = event.revision();
+        Optional<Long> ownVersion = findOwnVersion();
+        if (ownVersion.isPresent()) {
+            return finish(new PublicationResult.Published(ownVersion.get()));
         }
-        if (base.isEmpty()) {
-            base = Optional.of(current);
+        if (baseHead.isEmpty()) {
+            baseHead = Optional.of(currentHead);
         }
-        Optional<PublicationResult> conflict = conflict();
+        Optional<PublicationResult> conflict = findConflict();
         if (conflict.isPresent()) {
             return finish(conflict.get());
         }
         if (changes.keySet().stream().noneMatch(this::isChange)) {
-            return finish(new PublicationResult.Unchanged(current.version()));
+            return finish(new PublicationResult.Unchanged(currentHead.version()));
         }
         hashesToRead.clear();
-        current.files().forEach((name, file) -> {
+        currentHead.files().forEach((name, file) -> {
             if (!changes.containsKey(name) && !textByHash.containsKey(file.hash())) {
                 hashesToRead.add(file.hash());
             }
         });
-        return prepare();
+        return nextStep();
     }
 
-    private Optional<Long> ownVersion() {
-        Stream<Long> asPublication =
-                current.publications().stream().filter(p -> p.id().equals(id)).map(Head.Publication::version);
-        Stream<Long> asFile = current.files().values().stream()
+    private Optional<Long> findOwnVersion() {
+        Stream<Long> listedVersions = currentHead.publications().stream()
+                .filter(p -> p.id().equals(id))
+                .map(Head.Publication::version);
+        Stream<Long> fileVersions = currentHead.files().values().stream()
                 .filter(f -> f.publicationId().equals(id))
                 .map(Head.HeadFile::version);
-        return Stream.concat(asPublication, asFile).findFirst();
+        return Stream.concat(listedVersions, fileVersions).findFirst();
     }
 
-    private Optional<PublicationResult> conflict() {
+    private Optional<PublicationResult> findConflict() {
         for (String name : changes.keySet()) {
-            Optional<Head.HeadFile> then =
-                    Optional.ofNullable(base.orElseThrow().files().get(name));
-            Optional<Head.HeadFile> now = Optional.ofNullable(current.files().get(name));
-            if (!then.equals(now) && isChange(name)) {
-                String rival = now.map(Head.HeadFile::publicationId)
-                        .orElseGet(() -> current.publications().isEmpty()
+            Optional<Head.HeadFile> baseFile =
+                    Optional.ofNullable(baseHead.orElseThrow().files().get(name));
+            Optional<Head.HeadFile> currentFile =
+                    Optional.ofNullable(currentHead.files().get(name));
+            if (!baseFile.equals(currentFile) && isChange(name)) {
+                String otherId = currentFile
+                        .map(Head.HeadFile::publicationId)
+                        .orElseGet(() -> currentHead.publications().isEmpty()
                                 ? ""
-                                : current.publications().getFirst().id());
-                return Optional.of(new PublicationResult.Conflict(name, rival));
+                                : currentHead.publications().getFirst().id());
+                return Optional.of(new PublicationResult.Conflict(name, otherId));
             }
         }
         return Optional.empty();
     }
 
     private boolean isChange(String name) {
-        Optional<String> now = Optional.ofNullable(current.files().get(name)).map(Head.HeadFile::hash);
-        return !now.equals(changes.get(name).map(PublicationMachine::hash));
+        Optional<String> currentHash =
+                Optional.ofNullable(currentHead.files().get(name)).map(Head.HeadFile::hash);
+        return !currentHash.equals(changes.get(name).map(PublicationStateMachine::hash));
     }
 
-    /** Reads what is missing, validates, writes contents, then the head. */
-    private PublicationAction prepare() {
+    /** Reads missing contents, validates all files, writes new contents, then writes the head. */
+    private PublicationAction nextStep() {
         while (!hashesToRead.isEmpty()) {
             String hash = hashesToRead.poll();
             if (!textByHash.containsKey(hash)) {
@@ -185,12 +189,12 @@
             }
         }
         headWriteOutstanding = true;
-        return new PublicationAction.WriteHead(revision, next);
+        return new PublicationAction.WriteHead(headRevision, next);
     }
 
     private Head nextHead() {
-        long version = current.version() + 1;
-        Map<String, Head.HeadFile> files = new HashMap<>(current.files());
+        long version = currentHead.version() + 1;
+        Map<String, Head.HeadFile> files = new HashMap<>(currentHead.files());
         for (Map.Entry<String, Optional<String>> e : changes.entrySet()) {
             if (!isChange(e.getKey())) {
                 continue;
@@ -204,18 +208,18 @@
         }
         List<Head.Publication> publications = new ArrayList<>();
         publications.add(new Head.Publication(id, version));
-        current.publications().stream().limit(Head.REMEMBERED_PUBLICATIONS - 1L).forEach(publications::add);
+        currentHead.publications().stream().limit(Head.MAX_PUBLICATIONS - 1L).forEach(publications::add);
         return new Head(version, files, publications);
     }
 
-    private PublicationAction failed(PublicationEvent.CallFailed f) {
-        headMayBeWritten |= headWriteOutstanding && f.mayHaveTakenEffect();
+    private PublicationAction handleCallFailed(PublicationEvent.CallFailed event) {
+        headMayBeWritten |= headWriteOutstanding && event.mayHaveTakenEffect();
         headWriteOutstanding = false;
         failures++;
         if (failures >= MAX_FAILURES) {
             return finish(new PublicationResult.Unreachable(headMayBeWritten));
         }
-        return new PublicationAction.ReadHead(FIRST_DELAY.multipliedBy(1L << failures));
+        return new PublicationAction.ReadHead(BASE_RETRY_DELAY.multipliedBy(1L << failures));
     }
 
     private static PublicationAction finish(PublicationResult result) {
--- a/core/src/main/java/org/citrontide/core/publication/PublishedFile.java
+++ b/core/src/main/java/org/citrontide/core/publication/PublishedFile.java
@@ -1,4 +1,4 @@
 package org.citrontide.core.publication;
 
-/** One file that operators publish. Immutable. */
+/** A file published by operators. Immutable. */
 public sealed interface PublishedFile permits ServiceFile, TeamsFile {}
--- a/core/src/main/java/org/citrontide/core/publication/ServiceFile.java
+++ b/core/src/main/java/org/citrontide/core/publication/ServiceFile.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * How one service's traffic is treated. Immutable.
+ * The published settings of a service: how its traffic is admitted, scheduled and limited. Immutable.
  *
  * @param service name of the service
- * @param kind what stands behind the sidecars
- * @param calls rules for calls; the first that covers a call counts
- * @param classes what each urgency class is due
- * @param teamWeights shares of the teams relative to the weight 1 of all others
- * @param limits bounds on requests, queues and retries
+ * @param kind kind of the upstreams behind the sidecars
+ * @param calls rules for calls; the first one that matches a call applies
+ * @param classes guarantees of each urgency class
+ * @param teamWeights weights of the teams; a team without an entry has weight 1
+ * @param limits limits on requests, queues and retries
  */
 public record ServiceFile(
         String service,
@@ -25,24 +25,24 @@
         Limits limits)
         implements PublishedFile {
 
-    /** What stands behind the sidecars of a service. */
+    /** The kind of the upstreams behind the sidecars of a service. */
     public enum Kind {
-        /** Model engines that stream chat completions. */
+        /** Inference engines that stream chat completions. */
         MODEL,
         /** A plain HTTP service. */
         PLAIN
     }
 
     /**
-     * Bounds of one service. Immutable.
+     * The limits of a service. Immutable.
      *
-     * @param timeout longest time for one request
-     * @param queueLength most requests waiting at one sidecar
-     * @param slots most requests running at one upstream
-     * @param liveSlots slots of these that only live requests take
-     * @param retryPercent retries allowed per hundred first attempts
-     * @param maxBodyBytes longest request body in bytes
-     * @param claimWindow how long an idempotency key is remembered
+     * @param timeout maximum duration of a request
+     * @param queueLength maximum number of requests queued at a sidecar
+     * @param slots maximum number of requests running at an upstream
+     * @param liveSlots number of those slots reserved for live requests
+     * @param retryPercent retry budget in retries per 100 first attempts
+     * @param maxBodyBytes maximum size of a request body in bytes
+     * @param claimWindow time for which an idempotency key stays claimed
      */
     public record Limits(
             Duration timeout,
@@ -61,21 +61,21 @@
     }
 
     /**
-     * Finds the rule for a call.
+     * Returns the rule that applies to a call.
      *
      * @param method HTTP method
      * @param path path of the call within the service
-     * @return the first rule that covers the call
+     * @return the first rule that matches the call, or empty if there is none
      */
-    public Optional<CallRule> rule(String method, String path) {
-        return calls.stream().filter(c -> c.covers(method, path)).findFirst();
+    public Optional<CallRule> findRule(String method, String path) {
+        return calls.stream().filter(c -> c.matches(method, path)).findFirst();
     }
 
     /**
      * Returns the weight of a team.
      *
      * @param team name of the team
-     * @return its weight, 1 if the file gives none
+     * @return the weight, 1 if the file sets none
      */
     public int weight(String team) {
         return teamWeights.getOrDefault(team, 1);
--- a/core/src/main/java/org/citrontide/core/publication/Urgency.java
+++ b/core/src/main/java/org/citrontide/core/publication/Urgency.java
@@ -3,26 +3,26 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Urgency class of a request, most urgent first. Immutable. */
+/** The urgency class of a request, most urgent first. Immutable. */
 public enum Urgency {
-    /** Somebody waits for the reply. */
+    /** Interactive requests: a user waits for the response. */
     LIVE,
-    /** A summary that is due at a time of day. */
+    /** Batch requests due at a fixed time of day, such as summaries. */
     DAILY,
-    /** A write-up that is due by the next morning. */
+    /** Batch requests due by the next morning, such as write-ups. */
     OVERNIGHT;
 
     private static final Urgency[] ALL = values();
 
     /**
-     * Finds a class by its name in files and headers.
+     * Returns the class with a given name in files and headers.
      *
-     * @param word lower-case name
+     * @param name lower-case name
      * @return the class, or empty if there is none of this name
      */
-    public static Optional<Urgency> ofWord(String word) {
+    public static Optional<Urgency> ofExternalName(String name) {
         for (Urgency u : ALL) {
-            if (u.word().equals(word)) {
+            if (u.externalName().equals(name)) {
                 return Optional.of(u);
             }
         }
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Finds a class by its ordinal on the wire.
+     * Returns the class with a given ordinal on the wire.
      *
-     * @param ordinal number from 0; a number that is too large means the least urgent class
+     * @param ordinal ordinal from 0; any other number means the least urgent class
      * @return the class
      */
     public static Urgency ofOrdinal(int ordinal) {
@@ -40,11 +40,11 @@
     }
 
     /**
-     * Returns the name in files, headers and metrics.
+     * Returns the name used in files, headers and metrics.
      *
      * @return lower-case name
      */
-    public String word() {
+    public String externalName() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/core/src/test/java/org/citrontide/core/publication/SpreadTest.java
+++ b/core/src/test/java/org/citrontide/core/publication/ConfigurationSyncTest.java
@@ -12,22 +12,22 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Spreads versions over many controllers with virtual time, and counts calls to the platform's service. */
-final class SpreadTest {
+/** Propagates versions to many controllers in virtual time and counts the calls to the platform's store. */
+final class ConfigurationSyncTest {
     private static final long MILLI = 1_000_000L;
     private static final long STEP_MS = 100;
     private static final int LINKS = 4;
 
     @Test
-    void versionIsInForceEverywhereWithinTenSecondsAtFewCalls() {
+    void versionIsInForceEverywhereWithinTenSecondsWithFewStoreCalls() {
         for (int processes : new int[] {10, 50, 200}) {
             Zone z = new Zone(processes, 1);
             z.run(20_000);
             z.publish(2);
-            int before = z.storeCalls;
+            int callsBefore = z.storeCalls;
             long ms = z.millisUntilAllHave(2, 10_000);
             z.run(20_000 - ms);
-            double perSecond = (z.storeCalls - before) / 20.0;
+            double perSecond = (z.storeCalls - callsBefore) / 20.0;
             System.out.printf("spread processes=%d in-force-ms=%d store-calls-per-s=%.2f%n", processes, ms, perSecond);
             assertTrue(ms <= 10_000, processes + " processes took " + ms + " ms");
             assertTrue(perSecond <= 2.0, processes + " processes made " + perSecond + " calls a second");
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void restartedProcessTakesThePeersVersionWhileTheStoreIsDown() {
+    void restartedProcessGetsTheVersionFromPeersWhileTheStoreIsDown() {
         Zone z = new Zone(10, 2);
         z.run(20_000);
         z.storeDown = true;
@@ -51,27 +51,27 @@
         z.publish(1);
         z.run(60_000);
         z.controllers.forEach(c -> assertEquals(2, c.inForce().version()));
-        assertTrue(z.alarms > 0);
+        assertTrue(z.reports > 0);
     }
 
     @Test
-    void longOutageAndHealBringNoStorm() {
+    void longOutageAndRecoveryCauseNoCallStorm() {
         Zone z = new Zone(200, 4);
         z.run(20_000);
         z.storeDown = true;
-        int atCut = z.storeCalls;
+        int callsBeforeOutage = z.storeCalls;
         z.run(600_000);
-        double down = (z.storeCalls - atCut) / 600.0;
+        double down = (z.storeCalls - callsBeforeOutage) / 600.0;
         z.storeDown = false;
         z.publish(2);
-        int atHeal = z.storeCalls;
+        int callsBeforeRecovery = z.storeCalls;
         long ms = z.millisUntilAllHave(2, 40_000);
-        double firstTen = (z.storeCalls - atHeal) / Math.max(10.0, ms / 1000.0);
+        double firstTen = (z.storeCalls - callsBeforeRecovery) / Math.max(10.0, ms / 1000.0);
         System.out.printf(
                 "outage processes=200 calls-per-s-down=%.2f calls-per-s-after-heal=%.2f in-force-ms=%d%n",
                 down, firstTen, ms);
         assertTrue(down <= 5, down + " calls a second while down");
-        assertTrue(firstTen <= 20, firstTen + " calls a second after the heal");
+        assertTrue(firstTen <= 20, firstTen + " calls a second after the recovery");
         assertTrue(ms <= 40_000);
     }
 
@@ -85,35 +85,35 @@
         z.controllers.forEach(c -> assertEquals(1, c.inForce().version()));
     }
 
-    /** Processes of one zone, each with links to a few others; two of them watch. */
+    /** The processes of a zone, each with links to a few others; two of them are watchers. */
     private static final class Zone {
         private final SplittableRandom random;
-        private final List<SpreadController> controllers = new ArrayList<>();
+        private final List<ConfigurationSyncController> controllers = new ArrayList<>();
         private final List<int[]> links = new ArrayList<>();
-        private final Map<Integer, Integer> answersDue = new HashMap<>();
+        private final Map<Integer, Integer> stepsToResponse = new HashMap<>();
         private String text = "kind = \"plain\"\nservice = \"s\"\n[[calls]]\npath = \"/\"\n";
         private Head head = Head.EMPTY;
         private long now;
         private int storeCalls;
-        private int alarms;
+        private int reports;
         private boolean storeDown;
 
         private Zone(int processes, long seed) {
             random = new SplittableRandom(seed);
             for (int i = 0; i < processes; i++) {
-                controllers.add(new SpreadController(random.split()));
+                controllers.add(new ConfigurationSyncController(random.split()));
                 links.add(random.ints(LINKS, 0, processes).toArray());
             }
             publish(1);
         }
 
         private void publish(long version) {
-            Head.HeadFile f = new Head.HeadFile(version, PublicationMachine.hash(text), "p" + version);
+            Head.HeadFile f = new Head.HeadFile(version, PublicationStateMachine.hash(text), "p" + version);
             head = new Head(version, Map.of("s.toml", f), List.of());
         }
 
         private void restart(int i) {
-            controllers.set(i, new SpreadController(random.split()));
+            controllers.set(i, new ConfigurationSyncController(random.split()));
         }
 
         private void run(long millis) {
@@ -122,9 +122,9 @@
             }
         }
 
-        private long millisUntilAllHave(long version, long most) {
+        private long millisUntilAllHave(long version, long maxMillis) {
             long start = now;
-            while (controllers.stream().anyMatch(c -> c.inForce().version() < version) && now - start <= most) {
+            while (controllers.stream().anyMatch(c -> c.inForce().version() < version) && now - start <= maxMillis) {
                 step();
                 now += STEP_MS;
             }
@@ -133,13 +133,14 @@
 
         private void step() {
             for (int i = 0; i < controllers.size(); i++) {
-                on(i, new SpreadEvent.Tick(i < 2));
-                if (answersDue.getOrDefault(i, -1) > 0 && answersDue.merge(i, -1, Integer::sum) == 0) {
+                on(i, new ConfigurationSyncEvent.Tick(i < 2));
+                if (stepsToResponse.getOrDefault(i, -1) > 0 && stepsToResponse.merge(i, -1, Integer::sum) == 0) {
                     on(
                             i,
                             storeDown
-                                    ? new SpreadEvent.StoreFailed()
-                                    : new SpreadEvent.StoreHead(head, Map.of(PublicationMachine.hash(text), text)));
+                                    ? new ConfigurationSyncEvent.StoreFailed()
+                                    : new ConfigurationSyncEvent.StoreHead(
+                                            head, Map.of(PublicationStateMachine.hash(text), text)));
                 }
                 if (now % 1000 == (i * STEP_MS) % 1000) {
                     heartbeats(i);
@@ -147,7 +148,7 @@
             }
         }
 
-        /** Heartbeats go both ways on each link. */
+        /** Sends heartbeats in both directions of each link. */
         private void heartbeats(int i) {
             for (int peer : links.get(i)) {
                 digest(i, peer);
@@ -156,22 +157,22 @@
         }
 
         private void digest(int from, int to) {
-            SpreadController c = controllers.get(from);
-            Duration age = c.age(now * MILLI).orElse(Duration.ofDays(1));
-            on(to, new SpreadEvent.PeerDigest(from, c.inForce().version(), age));
+            ConfigurationSyncController c = controllers.get(from);
+            Duration age = c.confirmationAge(now * MILLI).orElse(Duration.ofDays(1));
+            on(to, new ConfigurationSyncEvent.PeerDigest(from, c.inForce().version(), age));
         }
 
-        private void on(int i, SpreadEvent event) {
-            for (SpreadAction a : controllers.get(i).on(event, now * MILLI)) {
+        private void on(int i, ConfigurationSyncEvent event) {
+            for (ConfigurationSyncAction a : controllers.get(i).on(event, now * MILLI)) {
                 switch (a) {
-                    case SpreadAction.AskPeer p -> answer(i, (int) p.peer());
-                    case SpreadAction.AskStore s -> {
+                    case ConfigurationSyncAction.RequestFiles p -> answer(i, (int) p.peer());
+                    case ConfigurationSyncAction.ReadStore s -> {
                         storeCalls++;
-                        answersDue.put(i, s.watch() && !storeDown && isCurrent(i) ? 20 : 1);
+                        stepsToResponse.put(i, s.watch() && !storeDown && isCurrent(i) ? 20 : 1);
                     }
-                    case SpreadAction.AlarmStoreWentBack b -> alarms++;
+                    case ConfigurationSyncAction.ReportStoreRegression b -> reports++;
                     default -> {
-                        // The controller keeps what it installed.
+                        // An installed configuration is kept by the controller.
                     }
                 }
             }
@@ -189,7 +190,7 @@
                 versions.put(name, f.version());
                 texts.put(name, f.text());
             });
-            on(to, new SpreadEvent.PeerFiles(from, c.version(), versions, texts));
+            on(to, new ConfigurationSyncEvent.PeerFiles(from, c.version(), versions, texts));
         }
     }
 }
--- a/core/src/test/java/org/citrontide/core/publication/FileCheckTest.java
+++ b/core/src/test/java/org/citrontide/core/publication/FileCheckTest.java
@@ -14,15 +14,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Checks that every mistake in a file is found, at its place; the inputs lie beside this test. */
+/** Tests that each violation in a file is reported with its position. The input files are resources of this package. */
 final class FileCheckTest {
     @Test
-    void validFileIsRead() throws IOException {
+    void validFileIsParsed() throws IOException {
         ServiceFile f = (ServiceFile) check("valid").value().orElseThrow();
         assertEquals("roster", f.service());
         assertEquals(15, f.classes().get(Urgency.DAILY).guaranteedPercent());
         assertEquals(2, f.weight("estate-office"));
-        assertTrue(f.rule("POST", "/v1/chat/completions").orElseThrow().repeatable());
+        assertTrue(f.findRule("POST", "/v1/chat/completions").orElseThrow().repeatable());
     }
 
     @ParameterizedTest
@@ -38,7 +38,7 @@
                 "window-too-short|8:1|CONTRADICTION",
                 "bad-method|5:1|OUT_OF_RANGE"
             })
-    void mistakeIsFoundAtItsPlace(String name, String position, Violation.Kind kind) throws IOException {
+    void violationIsReportedAtItsPosition(String name, String position, Violation.Kind kind) throws IOException {
         List<Violation> found = check(name).violations();
         assertEquals(1, found.size(), found.toString());
         Violation v = found.getFirst();
@@ -47,12 +47,12 @@
     }
 
     @Test
-    void allMistakesAreFoundAtOnce() throws IOException {
+    void allViolationsAreReportedAtOnce() throws IOException {
         assertEquals(4, check("four-mistakes").violations().size());
     }
 
     @Test
-    void unknownKeyNamesTheNearest() throws IOException {
+    void unknownKeySuggestsTheClosestKey() throws IOException {
         assertEquals(
                 "unknown-key.toml:9:1: limits.queue_lenght: found unknown key, expected \"queue_length\"",
                 check("unknown-key").violations().getFirst().text());
--- a/dist/src/test/java/org/citrontide/dist/SlopeBench.java
+++ b/dist/src/test/java/org/citrontide/dist/SlopeBench.java
@@ -211,7 +211,7 @@
         for (int i = 0; i < files; i++) {
             map.put("service-" + i + ".toml", new Head.HeadFile(10_000_000, "a".repeat(64), id));
         }
-        for (int i = 0; i < Head.REMEMBERED_PUBLICATIONS; i++) {
+        for (int i = 0; i < Head.MAX_PUBLICATIONS; i++) {
             publications.add(new Head.Publication(id, 10_000_000 - i));
         }
         return new Head(10_000_000, map, publications);
--- a/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
+++ b/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
@@ -324,7 +324,7 @@
                 .with("request", e.requestId())
                 .with("service", service)
                 .with("team", c.team())
-                .with("urgency", c.urgency().word())
+                .with("urgency", c.urgency().externalName())
                 .with("verdict", verdict.headerValue())
                 .with("reason", EntryMetrics.reason(verdict))
                 .with("ms", time.toMillis())
--- a/entry/src/main/java/org/citrontide/entry/dispatch/EntryMetrics.java
+++ b/entry/src/main/java/org/citrontide/entry/dispatch/EntryMetrics.java
@@ -52,8 +52,10 @@
     }
 
     void ended(String service, String team, Urgency urgency, Verdict verdict, Duration time) {
-        requestSeconds.labelValues(teams.label(team), urgency.word()).observe(time.toNanos() / NANOS_PER_SECOND);
-        verdicts.labelValues(service, urgency.word(), verdict.headerValue(), reason(verdict))
+        requestSeconds
+                .labelValues(teams.label(team), urgency.externalName())
+                .observe(time.toNanos() / NANOS_PER_SECOND);
+        verdicts.labelValues(service, urgency.externalName(), verdict.headerValue(), reason(verdict))
                 .inc();
     }
 
--- a/entry/src/main/java/org/citrontide/entry/filter/CallFilter.java
+++ b/entry/src/main/java/org/citrontide/entry/filter/CallFilter.java
@@ -15,7 +15,7 @@
     @Override
     public Optional<Refusal> apply(RequestContext c) {
         ServiceFile file = c.service.orElseThrow();
-        Optional<CallRule> rule = file.rule(c.method, c.upstreamPath);
+        Optional<CallRule> rule = file.findRule(c.method, c.upstreamPath);
         if (rule.isEmpty()) {
             return Optional.of(Refusal.of(Reason.UNKNOWN_SERVICE, "service " + file.service() + " has no such call"));
         }
@@ -24,7 +24,7 @@
         if (c.headers.urgency().isEmpty()) {
             return Optional.empty();
         }
-        Optional<Urgency> asked = Urgency.ofWord(c.headers.urgency().get());
+        Optional<Urgency> asked = Urgency.ofExternalName(c.headers.urgency().get());
         if (asked.isEmpty()) {
             return Optional.of(Refusal.of(Reason.BAD_REQUEST, "Urgency must be live, daily or overnight"));
         }
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/SidecarMetrics.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/SidecarMetrics.java
@@ -59,7 +59,9 @@
     }
 
     void ended(String team, Urgency urgency, Verdict verdict, Duration time) {
-        attemptSeconds.labelValues(teams.label(team), urgency.word()).observe(time.toNanos() / NANOS_PER_SECOND);
+        attemptSeconds
+                .labelValues(teams.label(team), urgency.externalName())
+                .observe(time.toNanos() / NANOS_PER_SECOND);
         verdicts.labelValues(verdict.headerValue()).inc();
     }
 
--- a/store/src/main/java/org/citrontide/store/configuration/ConfigurationService.java
+++ b/store/src/main/java/org/citrontide/store/configuration/ConfigurationService.java
@@ -9,10 +9,10 @@
 import java.util.random.RandomGenerator;
 
 import org.citrontide.core.publication.Configuration;
+import org.citrontide.core.publication.ConfigurationSyncAction;
+import org.citrontide.core.publication.ConfigurationSyncController;
+import org.citrontide.core.publication.ConfigurationSyncEvent;
 import org.citrontide.core.publication.Head;
-import org.citrontide.core.publication.SpreadAction;
-import org.citrontide.core.publication.SpreadController;
-import org.citrontide.core.publication.SpreadEvent;
 import org.citrontide.runtime.duty.Clock;
 import org.citrontide.runtime.duty.Duty;
 import org.citrontide.runtime.log.EventLog;
@@ -35,9 +35,9 @@
     private static final long NEWS_NANOS = Duration.ofSeconds(1).toNanos();
 
     private final Clock clock;
-    private final SpreadController controller;
+    private final ConfigurationSyncController controller;
     private final StoredConfiguration stored;
-    private final Duty<SpreadEvent> duty;
+    private final Duty<ConfigurationSyncEvent> duty;
     private final Map<Long, Link> links = new ConcurrentHashMap<>();
     private final Consumer<Configuration> installed;
     private volatile Configuration inForce = Configuration.NONE;
@@ -58,9 +58,9 @@
             StoredConfiguration stored, Clock clock, RandomGenerator random, Consumer<Configuration> installed) {
         this.stored = stored;
         this.clock = clock;
-        this.controller = new SpreadController(random);
+        this.controller = new ConfigurationSyncController(random);
         this.installed = installed;
-        this.duty = new Duty<>("configuration", RING, new SpreadHandler());
+        this.duty = new Duty<>("configuration", RING, new ConfigurationSyncHandler());
     }
 
     /** Starts the thread. */
@@ -114,7 +114,7 @@
      */
     public void linkDown(Link link) {
         links.remove(link.id());
-        duty.offer(new SpreadEvent.PeerLost(link.id()));
+        duty.offer(new ConfigurationSyncEvent.PeerDisconnected(link.id()));
     }
 
     /**
@@ -149,7 +149,7 @@
     private void heartbeatReceived(Link link, Heartbeat h) {
         Duration age = h.hasConfigurationAgeMs() ? Duration.ofMillis(h.getConfigurationAgeMs()) : NEVER;
         if (isNews(h.getConfigurationVersion(), age)) {
-            duty.offer(new SpreadEvent.PeerDigest(link.id(), h.getConfigurationVersion(), age));
+            duty.offer(new ConfigurationSyncEvent.PeerDigest(link.id(), h.getConfigurationVersion(), age));
         }
     }
 
@@ -163,18 +163,18 @@
         return confirmedNanos.map(t -> confirmed - t > NEWS_NANOS).orElse(age.compareTo(NEVER) < 0);
     }
 
-    private void perform(SpreadAction action) {
+    private void perform(ConfigurationSyncAction action) {
         switch (action) {
-            case SpreadAction.AskPeer a -> askPeer(a);
-            case SpreadAction.AskStore a ->
+            case ConfigurationSyncAction.RequestFiles a -> requestFiles(a);
+            case ConfigurationSyncAction.ReadStore a ->
                 stored.read(a.watch(), lastHead, inForce.version()).thenAccept(duty::put);
-            case SpreadAction.Install i -> install(i.configuration());
-            case SpreadAction.AlarmStoreWentBack a ->
+            case ConfigurationSyncAction.InstallConfiguration i -> install(i.configuration());
+            case ConfigurationSyncAction.ReportStoreRegression a ->
                 LOG.warn("store-went-back")
                         .with("store-version", a.storeVersion())
                         .with("in-force", a.inForce())
                         .write();
-            case SpreadAction.AlarmInvalid a ->
+            case ConfigurationSyncAction.ReportInvalidConfiguration a ->
                 LOG.warn("configuration-invalid")
                         .with("version", a.version())
                         .with("first", a.violations().getFirst().text())
@@ -182,7 +182,7 @@
         }
     }
 
-    private void askPeer(SpreadAction.AskPeer a) {
+    private void requestFiles(ConfigurationSyncAction.RequestFiles a) {
         Link link = links.get(a.peer());
         if (link == null) {
             return;
@@ -201,10 +201,10 @@
         installed.accept(c);
     }
 
-    private final class SpreadHandler implements Duty.Handler<SpreadEvent> {
+    private final class ConfigurationSyncHandler implements Duty.Handler<ConfigurationSyncEvent> {
         @Override
-        public void handle(SpreadEvent event) {
-            if (event instanceof SpreadEvent.StoreHead h) {
+        public void handle(ConfigurationSyncEvent event) {
+            if (event instanceof ConfigurationSyncEvent.StoreHead h) {
                 lastHead = h.head();
             }
             step(event);
@@ -215,7 +215,7 @@
             long now = clock.nanos();
             if (now >= nextTickNanos) {
                 nextTickNanos = now + TICK.toNanos();
-                step(new SpreadEvent.Tick(watcher));
+                step(new ConfigurationSyncEvent.Tick(watcher));
             }
         }
 
@@ -224,10 +224,10 @@
             return nextTickNanos - clock.nanos();
         }
 
-        private void step(SpreadEvent event) {
+        private void step(ConfigurationSyncEvent event) {
             long now = clock.nanos();
-            List<SpreadAction> actions = controller.on(event, now);
-            confirmedNanos = controller.age(now).map(a -> now - a.toNanos());
+            List<ConfigurationSyncAction> actions = controller.on(event, now);
+            confirmedNanos = controller.confirmationAge(now).map(a -> now - a.toNanos());
             actions.forEach(ConfigurationService.this::perform);
         }
     }
--- a/store/src/main/java/org/citrontide/store/configuration/StoredConfiguration.java
+++ b/store/src/main/java/org/citrontide/store/configuration/StoredConfiguration.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 import com.google.protobuf.InvalidProtocolBufferException;
+import org.citrontide.core.publication.ConfigurationSyncEvent;
 import org.citrontide.core.publication.Head;
-import org.citrontide.core.publication.SpreadEvent;
 import org.citrontide.store.client.StoreClient;
 import org.citrontide.store.client.StoreReply;
 import org.citrontide.wire.codec.ConfigurationCodec;
@@ -46,24 +46,24 @@
      * @param haveVersion version in force here
      * @return the event for the spread controller
      */
-    public CompletableFuture<SpreadEvent> read(boolean watch, Head known, long haveVersion) {
+    public CompletableFuture<ConfigurationSyncEvent> read(boolean watch, Head known, long haveVersion) {
         long after = lastRevision.get();
         boolean wait = watch && after > 0 && known.version() == haveVersion;
         CompletableFuture<StoreReply> reply = wait ? store.watch(HEAD_KEY, after, WATCH_WAIT) : store.get(HEAD_KEY);
         return reply.thenCompose(r -> switch (r) {
             case StoreReply.Value v -> withFiles(v, haveVersion);
-            case StoreReply.Unchanged u -> done(new SpreadEvent.StoreHead(known, Map.of()));
-            case StoreReply.Missing m -> done(new SpreadEvent.StoreHead(Head.EMPTY, Map.of()));
-            default -> done(new SpreadEvent.StoreFailed());
+            case StoreReply.Unchanged u -> done(new ConfigurationSyncEvent.StoreHead(known, Map.of()));
+            case StoreReply.Missing m -> done(new ConfigurationSyncEvent.StoreHead(Head.EMPTY, Map.of()));
+            default -> done(new ConfigurationSyncEvent.StoreFailed());
         });
     }
 
-    private CompletableFuture<SpreadEvent> withFiles(StoreReply.Value value, long haveVersion) {
+    private CompletableFuture<ConfigurationSyncEvent> withFiles(StoreReply.Value value, long haveVersion) {
         Head head;
         try {
             head = ConfigurationCodec.decodeHead(value.value());
         } catch (InvalidProtocolBufferException e) {
-            return done(new SpreadEvent.StoreFailed());
+            return done(new ConfigurationSyncEvent.StoreFailed());
         }
         List<String> hashes = head.files().values().stream()
                 .filter(f -> f.version() > haveVersion)
@@ -76,16 +76,16 @@
             Map<String, String> texts = new HashMap<>();
             for (int i = 0; i < hashes.size(); i++) {
                 if (!(reads.get(i).join() instanceof StoreReply.Value v)) {
-                    return new SpreadEvent.StoreFailed();
+                    return new ConfigurationSyncEvent.StoreFailed();
                 }
                 texts.put(hashes.get(i), new String(v.value(), StandardCharsets.UTF_8));
             }
             lastRevision.set(value.revision());
-            return new SpreadEvent.StoreHead(head, texts);
+            return new ConfigurationSyncEvent.StoreHead(head, texts);
         });
     }
 
-    private static CompletableFuture<SpreadEvent> done(SpreadEvent event) {
+    private static CompletableFuture<ConfigurationSyncEvent> done(ConfigurationSyncEvent event) {
         return CompletableFuture.completedFuture(event);
     }
 }
--- a/wire/src/main/java/org/citrontide/wire/codec/ConfigurationCodec.java
+++ b/wire/src/main/java/org/citrontide/wire/codec/ConfigurationCodec.java
@@ -7,8 +7,8 @@
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import org.citrontide.core.publication.Configuration;
+import org.citrontide.core.publication.ConfigurationSyncEvent;
 import org.citrontide.core.publication.Head;
-import org.citrontide.core.publication.SpreadEvent;
 import org.citrontide.wire.generated.ConfigurationBundle;
 import org.citrontide.wire.generated.ConfigurationFile;
 import org.citrontide.wire.generated.ConfigurationHead;
@@ -86,7 +86,7 @@
      * @param bundle the answer
      * @return the event for the spread controller
      */
-    public static SpreadEvent.PeerFiles peerFiles(long peer, ConfigurationBundle bundle) {
+    public static ConfigurationSyncEvent.PeerFiles peerFiles(long peer, ConfigurationBundle bundle) {
         Map<String, Long> versions = new HashMap<>();
         Map<String, String> texts = new HashMap<>();
         for (ConfigurationFile f : bundle.getFilesList()) {
@@ -95,6 +95,6 @@
                 texts.put(f.getName(), f.getContent());
             }
         }
-        return new SpreadEvent.PeerFiles(peer, bundle.getVersion(), versions, texts);
+        return new ConfigurationSyncEvent.PeerFiles(peer, bundle.getVersion(), versions, texts);
     }
 }
