--- a/cli/src/main/java/org/citrontide/cli/CheckCommand.java
+++ b/cli/src/main/java/org/citrontide/cli/CheckCommand.java
@@ -5,7 +5,7 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
 import org.citrontide.core.publication.Configuration;
-import org.citrontide.core.toml.Checked;
+import org.citrontide.core.toml.ValidationResult;
 
 /** The command {@code check}. */
 final class CheckCommand implements Command {
@@ -34,7 +34,7 @@
         if (line.getArgList().size() != 1) {
             throw new UsageException("one directory is needed");
         }
-        Checked<Configuration> checked =
+        ValidationResult<Configuration> checked =
                 Files.check(Files.directory(line.getArgList().getFirst()));
         if (checked.value().isEmpty()) {
             Files.print(checked.violations());
--- a/cli/src/main/java/org/citrontide/cli/DaemonCommand.java
+++ b/cli/src/main/java/org/citrontide/cli/DaemonCommand.java
@@ -5,7 +5,7 @@
 
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
-import org.citrontide.core.toml.Checked;
+import org.citrontide.core.toml.ValidationResult;
 import org.citrontide.entry.daemon.EntryDaemon;
 import org.citrontide.entry.daemon.EntrySettings;
 import org.citrontide.gateway.daemon.GatewayMain;
@@ -56,7 +56,7 @@
     }
 
     private static ExitCode entry(String file, String text) throws IOException {
-        Checked<EntrySettings> checked = EntrySettings.parse(file, text);
+        ValidationResult<EntrySettings> checked = EntrySettings.parse(file, text);
         if (checked.value().isEmpty()) {
             Files.print(checked.violations());
             return ExitCode.USAGE;
@@ -70,7 +70,7 @@
     }
 
     private static ExitCode sidecar(String file, String text) throws IOException {
-        Checked<SidecarSettings> checked = SidecarSettings.parse(file, text);
+        ValidationResult<SidecarSettings> checked = SidecarSettings.parse(file, text);
         if (checked.value().isEmpty()) {
             Files.print(checked.violations());
             return ExitCode.USAGE;
--- a/cli/src/main/java/org/citrontide/cli/Files.java
+++ b/cli/src/main/java/org/citrontide/cli/Files.java
@@ -8,7 +8,7 @@
 import java.util.stream.Stream;
 
 import org.citrontide.core.publication.Configuration;
-import org.citrontide.core.toml.Checked;
+import org.citrontide.core.toml.ValidationResult;
 import org.citrontide.core.toml.Violation;
 
 /** Reads settings and service files. Stateless. */
@@ -45,7 +45,7 @@
     }
 
     /** Validates files as one configuration. */
-    static Checked<Configuration> check(Map<String, String> texts) {
+    static ValidationResult<Configuration> check(Map<String, String> texts) {
         Map<String, Configuration.FileText> files = new TreeMap<>();
         texts.forEach((name, text) -> files.put(name, new Configuration.FileText(1, text)));
         return Configuration.check(1, files);
--- a/cli/src/main/java/org/citrontide/cli/PublishCommand.java
+++ b/cli/src/main/java/org/citrontide/cli/PublishCommand.java
@@ -18,7 +18,7 @@
 import org.citrontide.core.publication.PublicationEvent;
 import org.citrontide.core.publication.PublicationResult;
 import org.citrontide.core.publication.PublicationStateMachine;
-import org.citrontide.core.toml.Checked;
+import org.citrontide.core.toml.ValidationResult;
 import org.citrontide.store.client.StoreClient;
 import org.citrontide.store.client.StoreReply;
 import org.citrontide.store.configuration.StoredConfiguration;
@@ -54,7 +54,7 @@
             throw new UsageException("one directory is needed");
         }
         Map<String, String> texts = Files.directory(line.getArgList().getFirst());
-        Checked<Configuration> checked = Files.check(texts);
+        ValidationResult<Configuration> checked = Files.check(texts);
         if (checked.value().isEmpty()) {
             Files.print(checked.violations());
             return ExitCode.REFUSED;
--- a/core/src/main/java/org/citrontide/core/publication/Configuration.java
+++ b/core/src/main/java/org/citrontide/core/publication/Configuration.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-import org.citrontide.core.toml.Checked;
+import org.citrontide.core.toml.ValidationResult;
 import org.citrontide.core.toml.Violation;
 
 /**
@@ -49,20 +49,20 @@
      * @param files the files by name
      * @return the configuration, or the violations of all files
      */
-    public static Checked<Configuration> check(long version, Map<String, FileText> files) {
+    public static ValidationResult<Configuration> check(long version, Map<String, FileText> files) {
         List<Violation> violations = new ArrayList<>();
         Map<String, ServiceFile> services = new HashMap<>();
         Map<String, String> teams = new HashMap<>();
         for (Map.Entry<String, FileText> e : new TreeMap<>(files).entrySet()) {
-            Checked<PublishedFile> checked =
+            ValidationResult<PublishedFile> checked =
                     FileCheck.check(e.getKey(), e.getValue().text());
             violations.addAll(checked.violations());
             checked.value().ifPresent(f -> add(e.getKey(), f, services, teams, violations));
         }
         if (!violations.isEmpty()) {
-            return new Checked<>(Optional.empty(), violations);
+            return new ValidationResult<>(Optional.empty(), violations);
         }
-        return new Checked<>(Optional.of(new Configuration(version, files, services, teams)), List.of());
+        return new ValidationResult<>(Optional.of(new Configuration(version, files, services, teams)), List.of());
     }
 
     private static void add(
--- a/core/src/main/java/org/citrontide/core/publication/ConfigurationSyncController.java
+++ b/core/src/main/java/org/citrontide/core/publication/ConfigurationSyncController.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-import org.citrontide.core.toml.Checked;
+import org.citrontide.core.toml.ValidationResult;
 
 /**
  * Keeps a process on the newest configuration known to its peers or to the platform's store.
@@ -157,7 +157,7 @@
 
     private void install(
             long version, Map<String, Configuration.FileText> files, List<ConfigurationSyncAction> actions) {
-        Checked<Configuration> checked = Configuration.check(version, files);
+        ValidationResult<Configuration> checked = Configuration.check(version, files);
         if (checked.value().isPresent()) {
             inForce = checked.value().get();
             actions.add(new ConfigurationSyncAction.InstallConfiguration(inForce));
--- a/core/src/main/java/org/citrontide/core/publication/FileCheck.java
+++ b/core/src/main/java/org/citrontide/core/publication/FileCheck.java
@@ -10,8 +10,8 @@
 import java.util.regex.Pattern;
 
 import org.citrontide.core.claim.ClaimLedger;
-import org.citrontide.core.toml.Checked;
 import org.citrontide.core.toml.TomlSection;
+import org.citrontide.core.toml.ValidationResult;
 import org.citrontide.core.toml.Violation;
 
 /**
@@ -60,7 +60,7 @@
      * @param text content of the file
      * @return the parsed file, or all of its violations
      */
-    public static Checked<PublishedFile> check(String file, String text) {
+    public static ValidationResult<PublishedFile> check(String file, String text) {
         if (text.length() > MAX_FILE_BYTES) {
             Violation v = new Violation(
                     file,
@@ -70,10 +70,10 @@
                     Violation.Kind.OUT_OF_RANGE,
                     text.length() + " bytes",
                     "at most " + MAX_FILE_BYTES + " bytes");
-            return new Checked<>(Optional.empty(), List.of(v));
+            return new ValidationResult<>(Optional.empty(), List.of(v));
         }
         TomlSection root = TomlSection.parse(file, text);
-        FileKind kind = root.word("kind", FileKind.class, Optional.empty());
+        FileKind kind = root.enumValue("kind", FileKind.class, Optional.empty());
         return switch (kind) {
             case MODEL -> serviceFile(root, ServiceFile.Kind.MODEL);
             case PLAIN -> serviceFile(root, ServiceFile.Kind.PLAIN);
@@ -81,7 +81,7 @@
         };
     }
 
-    private static Checked<PublishedFile> serviceFile(TomlSection root, ServiceFile.Kind kind) {
+    private static ValidationResult<PublishedFile> serviceFile(TomlSection root, ServiceFile.Kind kind) {
         String name = requireName(root, "service");
         List<CallRule> calls = new ArrayList<>();
         root.sections("calls").forEach(s -> calls.add(callRule(s)));
@@ -108,7 +108,7 @@
             s.report("path", Violation.Kind.OUT_OF_RANGE, "\"" + path + "\"", "a path that begins with /");
         }
         boolean repeatable = s.bool("repeatable", false);
-        Urgency urgency = s.word("urgency", Urgency.class, Optional.of(Urgency.LIVE));
+        Urgency urgency = s.enumValue("urgency", Urgency.class, Optional.of(Urgency.LIVE));
         return new CallRule(method, path, repeatable, urgency);
     }
 
@@ -179,7 +179,7 @@
                 window);
     }
 
-    private static Checked<PublishedFile> teamsFile(TomlSection root) {
+    private static ValidationResult<PublishedFile> teamsFile(TomlSection root) {
         Map<String, String> byHash = new HashMap<>();
         for (TomlSection s : root.sections("teams")) {
             String name = requireName(s, "name");
--- a/core/src/main/java/org/citrontide/core/publication/PublicationStateMachine.java
+++ b/core/src/main/java/org/citrontide/core/publication/PublicationStateMachine.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 
 import org.apache.commons.codec.digest.DigestUtils;
-import org.citrontide.core.toml.Checked;
+import org.citrontide.core.toml.ValidationResult;
 
 /**
  * Publishes a set of file changes atomically, by one compare-and-swap on the head.
@@ -178,7 +178,7 @@
         next.files()
                 .forEach((name, f) ->
                         files.put(name, new Configuration.FileText(f.version(), textByHash.get(f.hash()))));
-        Checked<Configuration> checked = Configuration.check(next.version(), files);
+        ValidationResult<Configuration> checked = Configuration.check(next.version(), files);
         if (checked.value().isEmpty()) {
             return finish(new PublicationResult.Invalid(checked.violations()));
         }
--- a/core/src/main/java/org/citrontide/core/toml/TomlSection.java
+++ b/core/src/main/java/org/citrontide/core/toml/TomlSection.java
@@ -19,10 +19,10 @@
 import org.tomlj.TomlTable;
 
 /**
- * Reads typed values from one table of a TOML file and collects every mistake with its position.
+ * Reads typed values from a table of a TOML file and collects all violations with their positions.
  *
- * <p>Each read names the key, so that {@link #finish()} can report the keys that nobody read. A read that fails returns
- * a placeholder; the caller drops the whole result once there are violations. Not thread-safe.
+ * <p>Each read names the key, so that {@link #finish} can report the keys that were never read. A read that fails
+ * returns a placeholder; {@link #finish} discards the result if there are violations. Not thread-safe.
  */
 public final class TomlSection {
     private static final int MAX_SUGGESTION_DISTANCE = 3;
@@ -32,7 +32,7 @@
     private final TomlTable table;
     private final TomlPosition start;
     private final List<Violation> violations;
-    private final Set<String> known = new TreeSet<>();
+    private final Set<String> readKeys = new TreeSet<>();
     private final List<TomlSection> children = new ArrayList<>();
 
     private TomlSection(String file, String prefix, TomlTable table, TomlPosition start, List<Violation> violations) {
@@ -69,20 +69,20 @@
      * Reads a required string.
      *
      * @param key key in this table
-     * @return the value, or an empty string after a mistake
+     * @return the value, or an empty string after a violation
      */
     public String requireString(String key) {
-        return optionalString(key).orElseGet(() -> missing(key, "a string", ""));
+        return optionalString(key).orElseGet(() -> reportMissing(key, "a string", ""));
     }
 
     /**
      * Reads an optional string.
      *
      * @param key key in this table
-     * @return the value, if the file has a non-empty one
+     * @return the value, or empty if the key is absent
      */
     public Optional<String> optionalString(String key) {
-        known.add(key);
+        readKeys.add(key);
         Object v = table.get(List.of(key));
         if (v == null) {
             return Optional.empty();
@@ -101,25 +101,25 @@
      * Reads an integer within a range.
      *
      * @param key key in this table
-     * @param min least value allowed
-     * @param max greatest value allowed
-     * @param fallback value if the key is absent
+     * @param min minimum value
+     * @param max maximum value
+     * @param defaultValue default value if the key is absent
      * @return the value
      */
-    public int integer(String key, int min, int max, int fallback) {
-        known.add(key);
+    public int integer(String key, int min, int max, int defaultValue) {
+        readKeys.add(key);
         Object v = table.get(List.of(key));
         if (v == null) {
-            return fallback;
+            return defaultValue;
         }
         String expected = "an integer from " + min + " to " + max;
         if (!(v instanceof Long n)) {
             report(key, Violation.Kind.WRONG_TYPE, describe(v), expected);
-            return fallback;
+            return defaultValue;
         }
         if (n < min || n > max) {
             report(key, Violation.Kind.OUT_OF_RANGE, describe(v), expected);
-            return fallback;
+            return defaultValue;
         }
         return n.intValue();
     }
@@ -128,14 +128,14 @@
      * Reads a required integer within a range.
      *
      * @param key key in this table
-     * @param min least value allowed
-     * @param max greatest value allowed
-     * @return the value, or the least one after a mistake
+     * @param min minimum value
+     * @param max maximum value
+     * @return the value, or the minimum after a violation
      */
     public int requireInteger(String key, int min, int max) {
         if (table.get(List.of(key)) == null) {
-            known.add(key);
-            return missing(key, "an integer from " + min + " to " + max, min);
+            readKeys.add(key);
+            return reportMissing(key, "an integer from " + min + " to " + max, min);
         }
         return integer(key, min, max, min);
     }
@@ -144,25 +144,25 @@
      * Reads a number within a range.
      *
      * @param key key in this table
-     * @param min least value allowed
-     * @param max greatest value allowed
-     * @param fallback value if the key is absent
+     * @param min minimum value
+     * @param max maximum value
+     * @param defaultValue default value if the key is absent
      * @return the value
      */
-    public double decimal(String key, double min, double max, double fallback) {
-        known.add(key);
+    public double decimal(String key, double min, double max, double defaultValue) {
+        readKeys.add(key);
         Object v = table.get(List.of(key));
         if (v == null) {
-            return fallback;
+            return defaultValue;
         }
         String expected = "a number from " + min + " to " + max;
         if (!(v instanceof Number n)) {
             report(key, Violation.Kind.WRONG_TYPE, describe(v), expected);
-            return fallback;
+            return defaultValue;
         }
         if (n.doubleValue() < min || n.doubleValue() > max) {
             report(key, Violation.Kind.OUT_OF_RANGE, describe(v), expected);
-            return fallback;
+            return defaultValue;
         }
         return n.doubleValue();
     }
@@ -171,55 +171,56 @@
      * Reads a duration given as an integer of milliseconds.
      *
      * @param key key in this table
-     * @param min least value in ms
-     * @param max greatest value in ms
-     * @param fallback value in ms if the key is absent
+     * @param min minimum value in ms
+     * @param max maximum value in ms
+     * @param defaultValue default value in ms if the key is absent
      * @return the duration
      */
-    public Duration milliseconds(String key, int min, int max, int fallback) {
-        return Duration.ofMillis(integer(key, min, max, fallback));
+    public Duration milliseconds(String key, int min, int max, int defaultValue) {
+        return Duration.ofMillis(integer(key, min, max, defaultValue));
     }
 
     /**
-     * Reads an optional truth value.
+     * Reads an optional boolean.
      *
      * @param key key in this table
-     * @param fallback value if the key is absent
+     * @param defaultValue default value if the key is absent
      * @return the value
      */
-    public boolean bool(String key, boolean fallback) {
-        known.add(key);
+    public boolean bool(String key, boolean defaultValue) {
+        readKeys.add(key);
         Object v = table.get(List.of(key));
         if (v == null) {
-            return fallback;
+            return defaultValue;
         }
         if (!(v instanceof Boolean b)) {
             report(key, Violation.Kind.WRONG_TYPE, describe(v), "true or false");
-            return fallback;
+            return defaultValue;
         }
         return b;
     }
 
     /**
-     * Reads one word of a fixed set.
+     * Reads the lower-case name of an enum constant.
      *
-     * @param <E> the enumeration
+     * @param <E> the enum type
      * @param key key in this table
-     * @param type the enumeration, whose names in lower case are the words
-     * @param fallback value if the key is absent; empty makes the key required
-     * @return the value, or the first of the set after a mistake
+     * @param type the enum type
+     * @param defaultValue default value if the key is absent; empty makes the key required
+     * @return the constant, or the first one after a violation
      */
-    public <E extends Enum<E>> E word(String key, Class<E> type, Optional<E> fallback) {
-        known.add(key);
+    public <E extends Enum<E>> E enumValue(String key, Class<E> type, Optional<E> defaultValue) {
+        readKeys.add(key);
         E[] all = type.getEnumConstants();
         String expected = "one of "
-                + String.join(", ", Arrays.stream(all).map(TomlSection::wordOf).toList());
+                + String.join(
+                        ", ", Arrays.stream(all).map(TomlSection::lowerCaseName).toList());
         Object v = table.get(List.of(key));
         if (v == null) {
-            return fallback.orElseGet(() -> missing(key, expected, all[0]));
+            return defaultValue.orElseGet(() -> reportMissing(key, expected, all[0]));
         }
         for (E e : all) {
-            if (wordOf(e).equals(v)) {
+            if (lowerCaseName(e).equals(v)) {
                 return e;
             }
         }
@@ -234,7 +235,7 @@
      * @return the strings, empty if the key is absent
      */
     public List<String> strings(String key) {
-        known.add(key);
+        readKeys.add(key);
         Object v = table.get(List.of(key));
         if (v == null) {
             return List.of();
@@ -247,13 +248,13 @@
     }
 
     /**
-     * Opens a table inside this one.
+     * Returns a table nested in this one.
      *
      * @param key key in this table
-     * @return the table, if the file has it
+     * @return the table, or empty if the key is absent
      */
     public Optional<TomlSection> section(String key) {
-        known.add(key);
+        readKeys.add(key);
         Object v = table.get(List.of(key));
         if (v == null) {
             return Optional.empty();
@@ -266,13 +267,13 @@
     }
 
     /**
-     * Opens an array of tables.
+     * Returns an array of tables.
      *
      * @param key key in this table
      * @return the tables in order, empty if the key is absent
      */
     public List<TomlSection> sections(String key) {
-        known.add(key);
+        readKeys.add(key);
         Object v = table.get(List.of(key));
         if (v == null) {
             return List.of();
@@ -289,21 +290,21 @@
     }
 
     /**
-     * Returns the keys of this table, for tables whose keys are names.
+     * Returns the keys of a table whose keys are user-defined names.
      *
-     * @return the keys in alphabetical order, all counted as known
+     * @return the keys in alphabetical order; all of them count as read
      */
     public List<String> names() {
-        known.addAll(table.keySet());
+        readKeys.addAll(table.keySet());
         return table.keySet().stream().sorted().toList();
     }
 
     /**
-     * Records a mistake found by the caller.
+     * Records a violation found by the caller.
      *
      * @param key key in this table
-     * @param kind sort of mistake
-     * @param found what the file has
+     * @param kind kind of the violation
+     * @param found what was found in the file
      * @param expected what was expected
      */
     public void report(String key, Violation.Kind kind, String found, String expected) {
@@ -317,13 +318,13 @@
     }
 
     /**
-     * Ends the reading: keys that were never read are mistakes.
+     * Ends the reading; keys that were never read are violations.
      *
      * @param <T> type of the value
-     * @param build makes the value; called only if there are no mistakes
-     * @return the value or all mistakes
+     * @param build creates the value; called only if there are no violations
+     * @return the value, or all violations
      */
-    public <T> Checked<T> finish(Supplier<T> build) {
+    public <T> ValidationResult<T> finish(Supplier<T> build) {
         boolean parsed = violations.stream().noneMatch(v -> v.kind() == Violation.Kind.SYNTAX);
         if (parsed) {
             reportUnknownKeys();
@@ -331,15 +332,15 @@
             violations.removeIf(v -> v.kind() != Violation.Kind.SYNTAX);
         }
         if (violations.isEmpty()) {
-            return new Checked<>(Optional.of(build.get()), List.of());
+            return new ValidationResult<>(Optional.of(build.get()), List.of());
         }
         violations.sort(Comparator.comparingInt(Violation::line).thenComparingInt(Violation::column));
-        return new Checked<>(Optional.empty(), violations);
+        return new ValidationResult<>(Optional.empty(), violations);
     }
 
     private void reportUnknownKeys() {
         for (String key : table.keySet()) {
-            if (!known.contains(key)) {
+            if (!readKeys.contains(key)) {
                 report(key, Violation.Kind.UNKNOWN_KEY, "unknown key", suggestion(key));
             }
         }
@@ -348,11 +349,11 @@
 
     private String suggestion(String key) {
         LevenshteinDistance distance = LevenshteinDistance.getDefaultInstance();
-        return known.stream()
+        return readKeys.stream()
                 .min(Comparator.comparingInt(k -> distance.apply(k, key)))
                 .filter(k -> distance.apply(k, key) <= MAX_SUGGESTION_DISTANCE)
                 .map(k -> "\"" + k + "\"")
-                .orElse("one of " + String.join(", ", known));
+                .orElse("one of " + String.join(", ", readKeys));
     }
 
     private TomlSection child(String path, TomlTable t, TomlPosition position) {
@@ -361,12 +362,12 @@
         return c;
     }
 
-    private <T> T missing(String key, String expected, T placeholder) {
+    private <T> T reportMissing(String key, String expected, T placeholder) {
         report(key, Violation.Kind.MISSING_KEY, "nothing", expected);
         return placeholder;
     }
 
-    private static String wordOf(Enum<?> e) {
+    private static String lowerCaseName(Enum<?> e) {
         return e.name().toLowerCase(Locale.ROOT);
     }
 
--- a/core/src/test/java/org/citrontide/core/publication/FileCheckTest.java
+++ b/core/src/test/java/org/citrontide/core/publication/FileCheckTest.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-import org.citrontide.core.toml.Checked;
+import org.citrontide.core.toml.ValidationResult;
 import org.citrontide.core.toml.Violation;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -58,7 +58,7 @@
                 check("unknown-key").violations().getFirst().text());
     }
 
-    private static Checked<PublishedFile> check(String name) throws IOException {
+    private static ValidationResult<PublishedFile> check(String name) throws IOException {
         String file = name + ".toml";
         try (InputStream in = FileCheckTest.class.getResourceAsStream(file)) {
             return FileCheck.check(file, new String(in.readAllBytes(), StandardCharsets.UTF_8));
--- a/entry/src/main/java/org/citrontide/entry/daemon/EntrySettings.java
+++ b/entry/src/main/java/org/citrontide/entry/daemon/EntrySettings.java
@@ -3,8 +3,8 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-import org.citrontide.core.toml.Checked;
 import org.citrontide.core.toml.TomlSection;
+import org.citrontide.core.toml.ValidationResult;
 import org.citrontide.runtime.settings.ProcessSettings;
 
 /**
@@ -51,7 +51,7 @@
      * @param text content of the file
      * @return the settings or every mistake
      */
-    public static Checked<EntrySettings> parse(String file, String text) {
+    public static ValidationResult<EntrySettings> parse(String file, String text) {
         TomlSection root = TomlSection.parse(file, text);
         ProcessSettings process = ProcessSettings.read(root);
         InetSocketAddress caller = ProcessSettings.address(root, "caller_address");
--- a/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayMain.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayMain.java
@@ -6,7 +6,7 @@
 import java.security.SecureRandom;
 import java.util.Optional;
 
-import org.citrontide.core.toml.Checked;
+import org.citrontide.core.toml.ValidationResult;
 import org.citrontide.runtime.log.EventLog;
 import org.citrontide.runtime.log.LogSetup;
 import org.citrontide.runtime.signal.ReloadSignal;
@@ -51,7 +51,7 @@
      * @throws IOException if the file can't be read or an address can't be used
      */
     public static boolean start(String file) throws IOException {
-        Checked<GatewaySettings> checked = GatewaySettings.parse(file, Files.readString(Path.of(file)));
+        ValidationResult<GatewaySettings> checked = GatewaySettings.parse(file, Files.readString(Path.of(file)));
         if (checked.value().isEmpty()) {
             checked.violations().forEach(v -> System.err.println(v.text()));
             return false;
@@ -74,7 +74,7 @@
     /** Checks changed settings; they take effect at the next start. */
     private static void reload(String file, GatewaySettings inForce) {
         try {
-            Checked<GatewaySettings> checked = GatewaySettings.parse(file, Files.readString(Path.of(file)));
+            ValidationResult<GatewaySettings> checked = GatewaySettings.parse(file, Files.readString(Path.of(file)));
             LOG.info("reload")
                     .with("valid", checked.value().isPresent())
                     .with("changed", !checked.value().equals(Optional.of(inForce)))
--- a/gateway/src/main/java/org/citrontide/gateway/daemon/GatewaySettings.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/GatewaySettings.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Optional;
 
-import org.citrontide.core.toml.Checked;
 import org.citrontide.core.toml.TomlSection;
+import org.citrontide.core.toml.ValidationResult;
 import org.citrontide.runtime.settings.ProcessSettings;
 
 /**
@@ -64,7 +64,7 @@
      * @param text content of the file
      * @return the settings or every mistake
      */
-    public static Checked<GatewaySettings> parse(String file, String text) {
+    public static ValidationResult<GatewaySettings> parse(String file, String text) {
         TomlSection root = TomlSection.parse(file, text);
         String vm = root.requireString("vm");
         String zone = root.requireString("zone");
--- a/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarSettings.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarSettings.java
@@ -2,8 +2,8 @@
 
 import java.net.InetSocketAddress;
 
-import org.citrontide.core.toml.Checked;
 import org.citrontide.core.toml.TomlSection;
+import org.citrontide.core.toml.ValidationResult;
 import org.citrontide.runtime.settings.ProcessSettings;
 
 /**
@@ -33,7 +33,7 @@
      * @param text content of the file
      * @return the settings or every mistake
      */
-    public static Checked<SidecarSettings> parse(String file, String text) {
+    public static ValidationResult<SidecarSettings> parse(String file, String text) {
         TomlSection root = TomlSection.parse(file, text);
         ProcessSettings process = ProcessSettings.read(root);
         String service = root.requireString("service");
