--- a/core/src/main/java/org/citrontide/core/publication/Configuration.java
+++ b/core/src/main/java/org/citrontide/core/publication/Configuration.java
@@ -7,13 +7,13 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-import org.citrontide.core.toml.Checked;
+import org.citrontide.core.toml.ValidationResult;
 import org.citrontide.core.toml.Violation;
 
 /**
- * One version of the whole configuration: every published file, validated. Immutable.
+ * A version of the whole configuration: all published files, validated. Immutable.
  *
- * @param version number of the version, growing with each publication
+ * @param version number of the version, which increases with each publication
  * @param files the files by name
  * @param services services by name
  * @param teamsByTokenHash team names by the SHA-256 of their tokens
@@ -25,14 +25,14 @@
         Map<String, String> teamsByTokenHash) {
 
     /**
-     * One file at one version. Immutable.
+     * The content of a file at a version. Immutable.
      *
      * @param version version of the configuration that last changed the file
      * @param text content of the file
      */
     public record FileText(long version, String text) {}
 
-    /** The configuration of a process that has none yet. */
+    /** The empty configuration of a process that has not installed one yet. */
     public static final Configuration NONE = new Configuration(0, Map.of(), Map.of(), Map.of());
 
     /** Copies the maps. */
@@ -47,22 +47,22 @@
      *
      * @param version number of the version
      * @param files the files by name
-     * @return the configuration, or every mistake in every file
+     * @return the configuration, or the violations of all files
      */
-    public static Checked<Configuration> check(long version, Map<String, FileText> files) {
+    public static ValidationResult<Configuration> check(long version, Map<String, FileText> files) {
         List<Violation> violations = new ArrayList<>();
         Map<String, ServiceFile> services = new HashMap<>();
         Map<String, String> teams = new HashMap<>();
         for (Map.Entry<String, FileText> e : new TreeMap<>(files).entrySet()) {
-            Checked<PublishedFile> checked =
+            ValidationResult<PublishedFile> checked =
                     FileCheck.check(e.getKey(), e.getValue().text());
             violations.addAll(checked.violations());
             checked.value().ifPresent(f -> add(e.getKey(), f, services, teams, violations));
         }
         if (!violations.isEmpty()) {
-            return new Checked<>(Optional.empty(), violations);
+            return new ValidationResult<>(Optional.empty(), violations);
         }
-        return new Checked<>(Optional.of(new Configuration(version, files, services, teams)), List.of());
+        return new ValidationResult<>(Optional.of(new Configuration(version, files, services, teams)), List.of());
     }
 
     private static void add(
@@ -74,19 +74,19 @@
         switch (published) {
             case ServiceFile s -> {
                 if (services.put(s.service(), s) != null) {
-                    violations.add(twice(file, "service", "\"" + s.service() + "\" again"));
+                    violations.add(duplicate(file, "service", "duplicate \"" + s.service() + "\""));
                 }
             }
             case TeamsFile t ->
                 t.teamsByTokenHash().forEach((hash, team) -> {
                     if (teams.put(hash, team) != null) {
-                        violations.add(twice(file, "teams", "a token of team \"" + team + "\" again"));
+                        violations.add(duplicate(file, "teams", "a duplicate token of team \"" + team + "\""));
                     }
                 });
         }
     }
 
-    private static Violation twice(String file, String key, String found) {
-        return new Violation(file, 0, 0, key, Violation.Kind.CONTRADICTION, found, "each one in a single file");
+    private static Violation duplicate(String file, String key, String found) {
+        return new Violation(file, 0, 0, key, Violation.Kind.CONTRADICTION, found, "a value unique across all files");
     }
 }
