--- a/core/src/main/java/org/citrontide/core/dispatch/DispatchAction.java
+++ b/core/src/main/java/org/citrontide/core/dispatch/DispatchAction.java
@@ -5,50 +5,50 @@
 import org.citrontide.core.membership.UpstreamId;
 import org.citrontide.core.verdict.Verdict;
 
-/** What a {@link Dispatcher} asks of its shell. Immutable; arrays must not be changed. */
+/** An action that a {@link Dispatcher} requests from its shell. Immutable; arrays must not be modified. */
 public sealed interface DispatchAction {
 
     /**
-     * Send an attempt to a sidecar.
+     * Sends an attempt to a sidecar.
      *
-     * @param attempt number of the attempt, never used twice in a process
-     * @param upstream its upstream
-     * @param request number of the caller's request
-     * @param remaining time left until the attempt must have ended
-     * @param resumeAfterEvents server-sent events that the caller already has
+     * @param attempt number of the attempt, unique within the process
+     * @param upstream upstream to send it to
+     * @param request number of the request that the attempt belongs to
+     * @param remaining time left until the deadline of the attempt
+     * @param resumeAfterEvents number of server-sent events already passed on to the caller
      */
-    record Send(long attempt, UpstreamId upstream, long request, Duration remaining, int resumeAfterEvents)
+    record SendAttempt(long attempt, UpstreamId upstream, long request, Duration remaining, int resumeAfterEvents)
             implements DispatchAction {}
 
     /**
-     * Tell a sidecar that nobody waits for an attempt any more.
+     * Tells a sidecar that the result of an attempt is no longer needed.
      *
      * @param attempt number of the attempt
-     * @param upstream its upstream
+     * @param upstream upstream that the attempt was sent to
      */
-    record Cancel(long attempt, UpstreamId upstream) implements DispatchAction {}
+    record CancelAttempt(long attempt, UpstreamId upstream) implements DispatchAction {}
 
     /**
-     * Let a sidecar send more bytes of an answer.
+     * Grants a sidecar flow-control credit for an answer.
      *
      * @param attempt number of the attempt
-     * @param upstream its upstream
-     * @param bytes how many
+     * @param upstream upstream that the attempt was sent to
+     * @param bytes number of further bytes that the sidecar may send
      */
-    record Credit(long attempt, UpstreamId upstream, int bytes) implements DispatchAction {}
+    record GrantCredit(long attempt, UpstreamId upstream, int bytes) implements DispatchAction {}
 
     /**
-     * Send the caller a whole answer.
+     * Sends the caller a complete answer that is not streamed.
      *
      * @param request number of the request
      * @param status HTTP status
      * @param contentType media type, empty if unknown
-     * @param body the whole body
+     * @param body the complete body
      */
-    record Answer(long request, int status, String contentType, byte[] body) implements DispatchAction {}
+    record SendAnswer(long request, int status, String contentType, byte[] body) implements DispatchAction {}
 
     /**
-     * Begin a streamed answer.
+     * Begins a streamed answer.
      *
      * @param request number of the request
      * @param status HTTP status
@@ -57,43 +57,44 @@
     record BeginStream(long request, int status, String contentType) implements DispatchAction {}
 
     /**
-     * Send the caller whole server-sent events. The shell credits the attempt's sidecar once they have left.
+     * Sends the caller complete server-sent events. The shell credits the sidecar once they are written.
      *
      * @param request number of the request
-     * @param attempt attempt that they came from
+     * @param attempt number of the attempt that produced them
      * @param upstream upstream of the attempt
-     * @param data the bytes
-     * @param credit bytes to credit once they have left
+     * @param data bytes of the events
+     * @param credit number of bytes to credit once they are written
      */
-    record Stream(long request, long attempt, UpstreamId upstream, byte[] data, int credit) implements DispatchAction {}
+    record SendEvents(long request, long attempt, UpstreamId upstream, byte[] data, int credit)
+            implements DispatchAction {}
 
     /**
-     * End a streamed answer: as a whole one if it completed, else so that the caller can't take it for whole.
+     * Ends a streamed answer. If it did not complete, the caller must be able to tell that it is truncated.
      *
      * @param request number of the request
-     * @param verdict its outcome
+     * @param verdict outcome of the request
      */
     record EndStream(long request, Verdict verdict) implements DispatchAction {}
 
     /**
-     * Refuse a request of which the caller has no byte yet.
+     * Refuses a request for which the caller has not received any byte yet.
      *
      * @param request number of the request
-     * @param verdict its outcome
+     * @param verdict outcome of the request
      */
-    record Refuse(long request, Verdict verdict) implements DispatchAction {}
+    record RefuseRequest(long request, Verdict verdict) implements DispatchAction {}
 
     /**
-     * Keep a link to a sidecar.
+     * Opens a link to a sidecar and keeps it open.
      *
-     * @param upstream its upstream
+     * @param upstream upstream of the sidecar
      */
-    record Dial(UpstreamId upstream) implements DispatchAction {}
+    record OpenLink(UpstreamId upstream) implements DispatchAction {}
 
     /**
-     * Give up the link to a sidecar.
+     * Closes the link to a sidecar.
      *
-     * @param upstream its upstream
+     * @param upstream upstream of the sidecar
      */
-    record Drop(UpstreamId upstream) implements DispatchAction {}
+    record CloseLink(UpstreamId upstream) implements DispatchAction {}
 }
--- a/core/src/main/java/org/citrontide/core/dispatch/DispatchEvent.java
+++ b/core/src/main/java/org/citrontide/core/dispatch/DispatchEvent.java
@@ -8,7 +8,7 @@
 import org.citrontide.core.publication.Configuration;
 import org.citrontide.core.verdict.Verdict;
 
-/** What happens to a {@link Dispatcher}. Immutable; arrays must not be changed. */
+/** An event that a {@link Dispatcher} handles. Immutable; arrays must not be modified. */
 public sealed interface DispatchEvent {
 
     /**
@@ -16,85 +16,85 @@
      *
      * @param request the request
      */
-    record Arrived(DispatchRequest request) implements DispatchEvent {}
+    record RequestArrived(DispatchRequest request) implements DispatchEvent {}
 
     /**
-     * The caller went away.
+     * The caller disconnected.
      *
      * @param request number of the request
      */
-    record CallerGone(long request) implements DispatchEvent {}
+    record CallerDisconnected(long request) implements DispatchEvent {}
 
     /**
-     * The frame of an attempt did not go out whole.
+     * The frame of an attempt could not be sent completely, so that the sidecar cannot have run the attempt.
      *
      * @param attempt number of the attempt
      */
-    record NotSent(long attempt) implements DispatchEvent {}
+    record SendFailed(long attempt) implements DispatchEvent {}
 
     /**
-     * The answer of an attempt began.
+     * The head of an answer arrived.
      *
      * @param attempt number of the attempt
      * @param status HTTP status
      * @param contentType media type, empty if unknown
      */
-    record Head(long attempt, int status, String contentType) implements DispatchEvent {}
+    record AnswerHead(long attempt, int status, String contentType) implements DispatchEvent {}
 
     /**
-     * A part of an answer arrived.
+     * A part of the body of an answer arrived.
      *
      * @param attempt number of the attempt
-     * @param offset position of the first byte in the body
-     * @param data the bytes
+     * @param offset position of the first byte within the body
+     * @param data bytes of the part
      */
-    record Chunk(long attempt, long offset, byte[] data) implements DispatchEvent {}
+    record AnswerChunk(long attempt, long offset, byte[] data) implements DispatchEvent {}
 
     /**
-     * A sidecar said how an attempt ended.
+     * A sidecar reported the end of an attempt.
      *
      * @param attempt number of the attempt
-     * @param verdict its outcome
-     * @param length length of the whole body in bytes, of use only if it completed
+     * @param verdict outcome of the attempt
+     * @param length length of the complete body in bytes, valid only if the attempt completed
      */
-    record Ended(long attempt, Verdict verdict, long length) implements DispatchEvent {}
+    record AttemptEnded(long attempt, Verdict verdict, long length) implements DispatchEvent {}
 
     /**
-     * A link to a sidecar is up.
+     * A link to a sidecar was established.
      *
-     * @param upstream its upstream
+     * @param upstream upstream of the sidecar
      */
     record LinkUp(UpstreamId upstream) implements DispatchEvent {}
 
     /**
-     * A link to a sidecar ended.
+     * A link to a sidecar was lost or closed.
      *
-     * @param upstream its upstream
+     * @param upstream upstream of the sidecar
      */
     record LinkDown(UpstreamId upstream) implements DispatchEvent {}
 
     /**
-     * A sidecar told its state.
+     * A sidecar reported its load and readiness.
      *
-     * @param upstream its upstream
-     * @param report the state
+     * @param upstream upstream of the sidecar
+     * @param report the report
      */
-    record Report(UpstreamId upstream, SidecarReport report) implements DispatchEvent {}
+    record ReportReceived(UpstreamId upstream, SidecarReport report) implements DispatchEvent {}
 
     /**
-     * The platform's list changed.
+     * The platform's list of VMs changed.
      *
      * @param vms all VMs with a sidecar in the zones that this entry uses
      */
-    record Listed(List<ListedVm> vms) implements DispatchEvent {}
+    record VmListChanged(List<ListedVm> vms) implements DispatchEvent {}
 
     /**
-     * A configuration is in force.
+     * A new configuration took effect.
      *
-     * @param configuration the configuration
+     * @param configuration the new configuration
      */
-    record Configured(Configuration configuration) implements DispatchEvent {}
+    record ConfigurationChanged(Configuration configuration) implements DispatchEvent {}
 
-    /** Time passed. */
+    /** The periodic check of deadlines is due. */
     record Tick() implements DispatchEvent {}
 }
--- a/core/src/main/java/org/citrontide/core/dispatch/DispatchRequest.java
+++ b/core/src/main/java/org/citrontide/core/dispatch/DispatchRequest.java
@@ -5,15 +5,15 @@
 import org.citrontide.core.publication.Urgency;
 
 /**
- * What the dispatcher needs to know of a caller's request. Immutable.
+ * The properties of a caller's request that the dispatcher needs. Immutable.
  *
- * @param id number of the request, never used twice in a process
- * @param service name of the service
- * @param team name of the team
- * @param urgency its class
+ * @param id number of the request, unique within the process
+ * @param service name of the requested service
+ * @param team name of the caller's team
+ * @param urgency urgency class of the request
  * @param cost estimated cost in tokens
- * @param repeatable whether running it twice does no harm
- * @param bucket bucket of its idempotency key, if it has a key and must not be repeated
+ * @param repeatable whether the request may safely run more than once
+ * @param bucket claim bucket of its idempotency key, present if it has a key and is not repeatable
  * @param deadlineNanos monotonic deadline in ns
  */
 public record DispatchRequest(
--- a/core/src/main/java/org/citrontide/core/dispatch/Dispatcher.java
+++ b/core/src/main/java/org/citrontide/core/dispatch/Dispatcher.java
@@ -26,20 +26,21 @@
 import org.citrontide.core.verdict.Verdict;
 
 /**
- * Carries every request of one entry from its arrival to its one final answer.
+ * Dispatches the requests of one entry to upstreams, from admission through retries to a single final answer.
  *
  * <p>Invariants:
  *
  * <ul>
- *   <li>Each request ends in exactly one of {@link DispatchAction.Answer}, {@link DispatchAction.Refuse} and {@link
- *       DispatchAction.EndStream}, unless its caller left; no action names it afterwards.
- *   <li>A request ends in {@link Verdict.NotRun} only if each of its attempts certainly did not run.
- *   <li>An answer passed on as completed has every byte that the upstream sent, in order, from attempts of this request
- *       alone. Attempt numbers are never used twice; frames of unknown attempts are dropped and counted.
- *   <li>A request that must not be repeated has a second attempt only after {@link Verdict.NotRun}.
+ *   <li>Each request ends in exactly one of {@link DispatchAction.SendAnswer}, {@link DispatchAction.RefuseRequest} and {@link
+ *       DispatchAction.EndStream}, unless its caller disconnected; no later action refers to it.
+ *   <li>A request ends in {@link Verdict.NotRun} only if it is certain that none of its attempts ran.
+ *   <li>An answer passed on as completed consists of every byte that the upstream sent, in order, and only of bytes from
+ *       attempts of this request. Attempt numbers are never reused; frames of unknown attempts are dropped and counted.
+ *   <li>A request that is not repeatable gets a further attempt only after {@link Verdict.NotRun}.
  * </ul>
  *
- * <p>Not thread-safe: one thread owns it. It does no I/O, reads no clock, and its randomness is passed in.
+ * <p>Not thread-safe: confined to one thread. Does no I/O, reads no clock and takes its source of randomness as an
+ * argument.
  */
 public final class Dispatcher {
     private static final Duration NO_UPSTREAM_RETRY_AFTER = Duration.ofSeconds(1);
@@ -49,8 +50,8 @@
 
     private final UpstreamDirectory directory;
     private final AdmissionController admission = new AdmissionController();
-    private final Map<String, RetryBudget> budgets = new HashMap<>();
-    private final Map<Long, OpenRequest> open = new HashMap<>();
+    private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
+    private final Map<Long, OpenRequest> openRequests = new HashMap<>();
     private final Map<Long, OpenRequest> byAttempt = new HashMap<>();
     private final TreeSet<DispatchRequest> byDeadline = new TreeSet<>(
             Comparator.comparingLong(DispatchRequest::deadlineNanos).thenComparingLong(DispatchRequest::id));
@@ -61,11 +62,11 @@
     private long retries;
 
     /**
-     * Makes a dispatcher that knows no upstream.
+     * Creates a dispatcher without upstreams.
      *
      * @param zone the entry's availability zone
-     * @param subset chooses the upstreams that the entry keeps links to
-     * @param random source of routing choices
+     * @param subset selects the upstreams to which the entry keeps links
+     * @param random source of randomness for routing
      */
     public Dispatcher(String zone, UpstreamSubset subset, RandomGenerator random) {
         this.directory = new UpstreamDirectory(subset);
@@ -73,30 +74,31 @@
     }
 
     /**
-     * Takes one event.
+     * Handles an event.
      *
-     * @param event what happened
+     * @param event the event to handle
      * @param nowNanos monotonic time in ns
-     * @return what the shell must do, in order
+     * @return the actions for the shell to perform, in order
      */
-    public List<DispatchAction> on(DispatchEvent event, long nowNanos) {
-        Step step = new Step(nowNanos);
+    public List<DispatchAction> handle(DispatchEvent event, long nowNanos) {
+        EventHandler handler = new EventHandler(nowNanos);
         switch (event) {
-            case DispatchEvent.Arrived a -> step.arrived(a.request());
-            case DispatchEvent.CallerGone g -> step.callerGone(g.request());
-            case DispatchEvent.NotSent n ->
-                step.attemptEnded(n.attempt(), new Verdict.NotRun(Reason.CONNECTION_LOST, NO_UPSTREAM_RETRY_AFTER), 0);
-            case DispatchEvent.Head h -> step.head(h);
-            case DispatchEvent.Chunk c -> step.chunk(c);
-            case DispatchEvent.Ended e -> step.attemptEnded(e.attempt(), e.verdict(), e.length());
+            case DispatchEvent.RequestArrived a -> handler.requestArrived(a.request());
+            case DispatchEvent.CallerDisconnected g -> handler.callerDisconnected(g.request());
+            case DispatchEvent.SendFailed n ->
+                handler.attemptEnded(
+                        n.attempt(), new Verdict.NotRun(Reason.CONNECTION_LOST, NO_UPSTREAM_RETRY_AFTER), 0);
+            case DispatchEvent.AnswerHead h -> handler.answerHead(h);
+            case DispatchEvent.AnswerChunk c -> handler.answerChunk(c);
+            case DispatchEvent.AttemptEnded e -> handler.attemptEnded(e.attempt(), e.verdict(), e.length());
             case DispatchEvent.LinkUp u -> directory.linkUp(u.upstream());
-            case DispatchEvent.LinkDown d -> step.linkDown(d.upstream());
-            case DispatchEvent.Report r -> directory.reported(r.upstream(), r.report());
-            case DispatchEvent.Listed l -> step.listed(directory.listed(l.vms()));
-            case DispatchEvent.Configured c -> configuration = c.configuration();
-            case DispatchEvent.Tick t -> step.expire();
+            case DispatchEvent.LinkDown d -> handler.linkDown(d.upstream());
+            case DispatchEvent.ReportReceived r -> directory.reported(r.upstream(), r.report());
+            case DispatchEvent.VmListChanged l -> handler.updateLinks(directory.listed(l.vms()));
+            case DispatchEvent.ConfigurationChanged c -> configuration = c.configuration();
+            case DispatchEvent.Tick t -> handler.expireRequests();
         }
-        return step.out;
+        return handler.actions;
     }
 
     /**
@@ -111,34 +113,34 @@
     }
 
     /**
-     * Returns the requests without a final answer.
+     * Returns the number of requests without a final answer.
      *
-     * @return count
+     * @return number of open requests
      */
     public int openRequests() {
-        return open.size();
+        return openRequests.size();
     }
 
     /**
-     * Returns the frames that named no attempt under way.
+     * Returns the number of frames dropped because they belong to no attempt in flight.
      *
-     * @return count since the start
+     * @return count since the dispatcher was created
      */
     public long droppedFrames() {
         return droppedFrames;
     }
 
     /**
-     * Returns the attempts after the first of their request.
+     * Returns the number of retries, that is, of attempts beyond the first of each request.
      *
-     * @return count since the start
+     * @return count since the dispatcher was created
      */
     public long retries() {
         return retries;
     }
 
     /**
-     * Says whether a service has an upstream that takes work.
+     * Returns whether a service has an upstream that accepts requests.
      *
      * @param service name of the service
      * @return true if there is one
@@ -147,27 +149,27 @@
         return !directory.accepting(service).isEmpty();
     }
 
-    private static AdmissionKey key(DispatchRequest r) {
+    private static AdmissionKey admissionKey(DispatchRequest r) {
         return new AdmissionKey(r.service(), r.urgency(), r.team());
     }
 
-    private RetryBudget budget(String service) {
-        return budgets.computeIfAbsent(service, s -> new RetryBudget());
+    private RetryBudget retryBudget(String service) {
+        return retryBudgets.computeIfAbsent(service, s -> new RetryBudget());
     }
 
-    /** The handling of one event. */
-    private final class Step {
+    /** Handles one event and collects the resulting actions. */
+    private final class EventHandler {
         private final long nowNanos;
-        private final List<DispatchAction> out = new ArrayList<>();
+        private final List<DispatchAction> actions = new ArrayList<>();
 
-        private Step(long nowNanos) {
+        private EventHandler(long nowNanos) {
             this.nowNanos = nowNanos;
         }
 
-        private void arrived(DispatchRequest r) {
-            Optional<Verdict.NotRun> refusal = admission.admit(key(r), nowNanos);
+        private void requestArrived(DispatchRequest r) {
+            Optional<Verdict.NotRun> refusal = admission.admit(admissionKey(r), nowNanos);
             if (refusal.isPresent()) {
-                out.add(new DispatchAction.Refuse(r.id(), refusal.get()));
+                actions.add(new DispatchAction.RefuseRequest(r.id(), refusal.get()));
                 return;
             }
             ServiceFile file = configuration.services().get(r.service());
@@ -175,19 +177,19 @@
                 refuse(r, Reason.UNKNOWN_SERVICE, Duration.ZERO);
                 return;
             }
-            budget(r.service()).firstAttempt(file.limits().retryPercent());
+            retryBudget(r.service()).firstAttempt(file.limits().retryPercent());
             OpenRequest o = new OpenRequest(r);
-            open.put(r.id(), o);
+            openRequests.put(r.id(), o);
             byDeadline.add(r);
-            send(o);
+            sendNextAttempt(o);
         }
 
         private void refuse(DispatchRequest r, Reason reason, Duration retryAfter) {
-            out.add(new DispatchAction.Refuse(r.id(), new Verdict.NotRun(reason, retryAfter)));
+            actions.add(new DispatchAction.RefuseRequest(r.id(), new Verdict.NotRun(reason, retryAfter)));
         }
 
-        /** Sends the next attempt, or gives the request up if there is nowhere to send it. */
-        private void send(OpenRequest o) {
+        /** Sends the next attempt, or finishes the request if its deadline has passed or no upstream is left to try. */
+        private void sendNextAttempt(OpenRequest o) {
             DispatchRequest r = o.request;
             if (nowNanos >= r.deadlineNanos()) {
                 finish(o, new Verdict.NotRun(Reason.DEADLINE, Duration.ZERO));
@@ -195,8 +197,8 @@
             }
             List<Upstream> accepting = directory.accepting(r.service());
             Optional<Upstream> choice = r.bucket().isPresent()
-                    ? router.chooseHome(accepting, o.tried, r.bucket().get())
-                    : router.choose(accepting, o.tried, r.urgency());
+                    ? router.chooseHome(accepting, o.triedUpstreams, r.bucket().get())
+                    : router.choose(accepting, o.triedUpstreams, r.urgency());
             if (choice.isEmpty()) {
                 finish(o, new Verdict.NotRun(Reason.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER));
                 return;
@@ -208,10 +210,10 @@
             directory.sent(id, r.urgency());
             Duration left = Duration.ofNanos(r.deadlineNanos() - nowNanos);
             Duration remaining = left.compareTo(DEADLINE_SLACK.multipliedBy(2)) > 0 ? left.minus(DEADLINE_SLACK) : left;
-            out.add(new DispatchAction.Send(attempt, id, r.id(), remaining, o.splitter.events()));
+            actions.add(new DispatchAction.SendAttempt(attempt, id, r.id(), remaining, o.splitter.eventCount()));
         }
 
-        private Optional<OpenRequest> current(long attempt) {
+        private Optional<OpenRequest> findByAttempt(long attempt) {
             Optional<OpenRequest> o = Optional.ofNullable(byAttempt.get(attempt));
             if (o.isEmpty()) {
                 droppedFrames++;
@@ -219,163 +221,165 @@
             return o;
         }
 
-        private void head(DispatchEvent.Head h) {
-            Optional<OpenRequest> found = current(h.attempt());
+        private void answerHead(DispatchEvent.AnswerHead h) {
+            Optional<OpenRequest> found = findByAttempt(h.attempt());
             if (found.isEmpty()) {
                 return;
             }
             OpenRequest o = found.get();
             if (o.status != 0) {
-                breakAttempt(o, Reason.ANSWER_BROKEN);
+                abortAttempt(o, Reason.ANSWER_BROKEN);
                 return;
             }
             o.status = h.status();
             o.contentType = h.contentType();
             o.streamed = h.contentType().startsWith(EVENT_STREAM);
-            if (o.begun && !o.streamed) {
-                breakAttempt(o, Reason.ANSWER_BROKEN);
+            if (o.streamBegun && !o.streamed) {
+                abortAttempt(o, Reason.ANSWER_BROKEN);
             }
         }
 
-        private void chunk(DispatchEvent.Chunk c) {
-            Optional<OpenRequest> found = current(c.attempt());
+        private void answerChunk(DispatchEvent.AnswerChunk c) {
+            Optional<OpenRequest> found = findByAttempt(c.attempt());
             if (found.isEmpty()) {
                 return;
             }
             OpenRequest o = found.get();
-            if (o.status == 0 || c.offset() != o.received) {
-                breakAttempt(o, Reason.ANSWER_BROKEN);
+            if (o.status == 0 || c.offset() != o.receivedBytes) {
+                abortAttempt(o, Reason.ANSWER_BROKEN);
                 return;
             }
-            o.received += c.data().length;
-            UpstreamId upstream = o.attempt.orElseThrow().upstream();
+            o.receivedBytes += c.data().length;
+            UpstreamId upstream = o.currentAttempt.orElseThrow().upstream();
             if (!o.streamed) {
-                buffer(o, c, upstream);
+                bufferChunk(o, c, upstream);
                 return;
             }
-            byte[] events = o.splitter.add(c.data());
+            byte[] events = o.splitter.append(c.data());
             if (events.length == 0) {
-                out.add(new DispatchAction.Credit(c.attempt(), upstream, c.data().length));
+                actions.add(new DispatchAction.GrantCredit(c.attempt(), upstream, c.data().length));
                 return;
             }
-            if (!o.begun) {
-                o.begun = true;
-                out.add(new DispatchAction.BeginStream(o.request.id(), o.status, o.contentType));
+            if (!o.streamBegun) {
+                o.streamBegun = true;
+                actions.add(new DispatchAction.BeginStream(o.request.id(), o.status, o.contentType));
             }
-            out.add(new DispatchAction.Stream(o.request.id(), c.attempt(), upstream, events, c.data().length));
+            actions.add(new DispatchAction.SendEvents(o.request.id(), c.attempt(), upstream, events, c.data().length));
         }
 
-        private void buffer(OpenRequest o, DispatchEvent.Chunk c, UpstreamId upstream) {
-            if (o.received > MAX_BUFFERED_BYTES) {
-                breakAttempt(o, Reason.ANSWER_BROKEN);
+        private void bufferChunk(OpenRequest o, DispatchEvent.AnswerChunk c, UpstreamId upstream) {
+            if (o.receivedBytes > MAX_BUFFERED_BYTES) {
+                abortAttempt(o, Reason.ANSWER_BROKEN);
                 return;
             }
             o.body.writeBytes(c.data());
-            out.add(new DispatchAction.Credit(c.attempt(), upstream, c.data().length));
+            actions.add(new DispatchAction.GrantCredit(c.attempt(), upstream, c.data().length));
         }
 
-        /** Ends an attempt whose frames don't add up to an answer. */
-        private void breakAttempt(OpenRequest o, Reason reason) {
-            OpenRequest.Attempt a = o.attempt.orElseThrow();
-            out.add(new DispatchAction.Cancel(a.number(), a.upstream()));
+        /** Cancels an attempt whose frames do not form a valid answer. */
+        private void abortAttempt(OpenRequest o, Reason reason) {
+            OpenRequest.Attempt a = o.currentAttempt.orElseThrow();
+            actions.add(new DispatchAction.CancelAttempt(a.number(), a.upstream()));
             attemptEnded(a.number(), new Verdict.MayHaveRun(reason), 0);
         }
 
         private void attemptEnded(long attempt, Verdict verdict, long length) {
-            Optional<OpenRequest> found = current(attempt);
+            Optional<OpenRequest> found = findByAttempt(attempt);
             if (found.isEmpty()) {
                 return;
             }
             OpenRequest o = found.get();
             byAttempt.remove(attempt);
-            UpstreamId upstream = o.attempt.orElseThrow().upstream();
-            o.attempt = Optional.empty();
-            Verdict outcome = verdict instanceof Verdict.Completed c ? wholeOrBroken(o, c, length) : verdict;
-            directory.ended(upstream, o.request.urgency(), isUpstreamFault(outcome));
+            UpstreamId upstream = o.currentAttempt.orElseThrow().upstream();
+            o.currentAttempt = Optional.empty();
+            Verdict outcome = verdict instanceof Verdict.Completed c ? checkComplete(o, c, length) : verdict;
+            directory.ended(upstream, o.request.urgency(), isUpstreamFailure(outcome));
             o.mayHaveRun |= outcome instanceof Verdict.MayHaveRun;
-            settle(o, outcome);
+            retryOrFinish(o, outcome);
         }
 
-        private Verdict wholeOrBroken(OpenRequest o, Verdict.Completed c, long length) {
-            boolean whole = o.status != 0 && o.received == length && (!o.streamed || o.splitter.isWhole());
-            return whole ? c : new Verdict.MayHaveRun(Reason.ANSWER_BROKEN);
+        private Verdict checkComplete(OpenRequest o, Verdict.Completed c, long length) {
+            boolean isComplete = o.status != 0 && o.receivedBytes == length && (!o.streamed || o.splitter.isComplete());
+            return isComplete ? c : new Verdict.MayHaveRun(Reason.ANSWER_BROKEN);
         }
 
-        private void settle(OpenRequest o, Verdict outcome) {
+        private void retryOrFinish(OpenRequest o, Verdict outcome) {
             DispatchRequest r = o.request;
-            if (o.begun && o.splitter.isWhole()) {
+            if (o.streamBegun && o.splitter.isComplete()) {
                 finish(o, new Verdict.Completed(o.status));
                 return;
             }
-            RetryFacts facts = new RetryFacts(r.repeatable(), o.attempts, r.deadlineNanos());
-            if (RetryPolicy.isRetried(facts, outcome, budget(r.service()), nowNanos)) {
+            RetryFacts facts = new RetryFacts(r.repeatable(), o.attemptCount, r.deadlineNanos());
+            if (RetryPolicy.isRetried(facts, outcome, retryBudget(r.service()), nowNanos)) {
                 retries++;
-                send(o);
+                sendNextAttempt(o);
                 return;
             }
             finish(o, outcome);
         }
 
         private void finish(OpenRequest o, Verdict verdict) {
-            close(o);
-            learnAdmission(o.request, verdict);
+            removeRequest(o);
+            updateAdmission(o.request, verdict);
             Verdict end =
                     verdict instanceof Verdict.NotRun n && o.mayHaveRun ? new Verdict.MayHaveRun(n.reason()) : verdict;
-            if (o.begun) {
-                out.add(new DispatchAction.EndStream(o.request.id(), end));
+            if (o.streamBegun) {
+                actions.add(new DispatchAction.EndStream(o.request.id(), end));
                 return;
             }
             if (verdict instanceof Verdict.Completed) {
-                out.add(new DispatchAction.Answer(o.request.id(), o.status, o.contentType, o.body.toByteArray()));
+                actions.add(
+                        new DispatchAction.SendAnswer(o.request.id(), o.status, o.contentType, o.body.toByteArray()));
                 return;
             }
-            out.add(new DispatchAction.Refuse(o.request.id(), end));
+            actions.add(new DispatchAction.RefuseRequest(o.request.id(), end));
         }
 
-        private void learnAdmission(DispatchRequest r, Verdict verdict) {
+        private void updateAdmission(DispatchRequest r, Verdict verdict) {
             switch (verdict) {
-                case Verdict.Completed c -> admission.accepted(key(r));
-                case Verdict.NotRun n when n.reason() == Reason.OVERLOADED -> admission.refused(key(r), nowNanos);
+                case Verdict.Completed c -> admission.accepted(admissionKey(r));
+                case Verdict.NotRun n
+                when n.reason() == Reason.OVERLOADED -> admission.refused(admissionKey(r), nowNanos);
                 default -> {
-                    // Other outcomes say nothing on the load of the service.
+                    // Other outcomes carry no information about the load of the service.
                 }
             }
         }
 
-        private void close(OpenRequest o) {
-            open.remove(o.request.id());
+        private void removeRequest(OpenRequest o) {
+            openRequests.remove(o.request.id());
             byDeadline.remove(o.request);
-            o.attempt.ifPresent(a -> {
+            o.currentAttempt.ifPresent(a -> {
                 byAttempt.remove(a.number());
                 directory.ended(a.upstream(), o.request.urgency(), false);
-                out.add(new DispatchAction.Cancel(a.number(), a.upstream()));
+                actions.add(new DispatchAction.CancelAttempt(a.number(), a.upstream()));
             });
-            o.attempt = Optional.empty();
+            o.currentAttempt = Optional.empty();
         }
 
-        private void callerGone(long request) {
-            Optional.ofNullable(open.get(request)).ifPresent(this::close);
+        private void callerDisconnected(long request) {
+            Optional.ofNullable(openRequests.get(request)).ifPresent(this::removeRequest);
         }
 
         private void linkDown(UpstreamId upstream) {
             directory.linkDown(upstream);
             List<Long> lost = byAttempt.values().stream()
-                    .map(o -> o.attempt.orElseThrow())
+                    .map(o -> o.currentAttempt.orElseThrow())
                     .filter(a -> a.upstream().equals(upstream))
                     .map(OpenRequest.Attempt::number)
                     .toList();
             lost.forEach(a -> attemptEnded(a, new Verdict.MayHaveRun(Reason.CONNECTION_LOST), 0));
         }
 
-        private void listed(UpstreamDirectory.LinkChanges changes) {
-            changes.dial().forEach(id -> out.add(new DispatchAction.Dial(id)));
-            changes.drop().forEach(id -> out.add(new DispatchAction.Drop(id)));
+        private void updateLinks(UpstreamDirectory.LinkChanges changes) {
+            changes.dial().forEach(id -> actions.add(new DispatchAction.OpenLink(id)));
+            changes.drop().forEach(id -> actions.add(new DispatchAction.CloseLink(id)));
         }
 
-        private void expire() {
+        private void expireRequests() {
             while (!byDeadline.isEmpty() && byDeadline.first().deadlineNanos() <= nowNanos) {
-                OpenRequest o = open.get(byDeadline.first().id());
-                Verdict verdict = o.attempt.isPresent()
+                OpenRequest o = openRequests.get(byDeadline.first().id());
+                Verdict verdict = o.currentAttempt.isPresent()
                         ? new Verdict.MayHaveRun(Reason.DEADLINE)
                         : new Verdict.NotRun(Reason.DEADLINE, Duration.ZERO);
                 finish(o, verdict);
@@ -383,7 +387,7 @@
         }
     }
 
-    private static boolean isUpstreamFault(Verdict outcome) {
+    private static boolean isUpstreamFailure(Verdict outcome) {
         return outcome instanceof Verdict.MayHaveRun m && m.reason() != Reason.CANCELLED;
     }
 }
--- a/core/src/main/java/org/citrontide/core/dispatch/EventSplitter.java
+++ b/core/src/main/java/org/citrontide/core/dispatch/EventSplitter.java
@@ -5,53 +5,55 @@
 import java.util.Arrays;
 
 /**
- * Cuts a stream of server-sent events at the blank lines between them.
+ * Splits a stream of server-sent events at the blank lines between them.
  *
- * <p>Invariant: only whole events come out, so that another attempt can go on after the last one. Not thread-safe.
+ * <p>Invariant: only complete events are returned, so that another attempt can resume after the last one. Not
+ * thread-safe.
  */
 final class EventSplitter {
-    private static final byte[] LAST_EVENT = "data: [DONE]".getBytes(StandardCharsets.UTF_8);
-
-    private byte[] rest = new byte[0];
-    private int events;
-    private boolean done;
-
-    /** Takes bytes and returns the whole events now at hand, which may be none. */
-    byte[] add(byte[] data) {
-        ByteArrayOutputStream joined = new ByteArrayOutputStream(rest.length + data.length);
-        joined.writeBytes(rest);
-        joined.writeBytes(data);
-        byte[] all = joined.toByteArray();
+    private static final byte[] DONE_EVENT = "data: [DONE]".getBytes(StandardCharsets.UTF_8);
+
+    private byte[] partialEvent = new byte[0];
+    private int eventCount;
+    private boolean doneEventReceived;
+
+    /** Appends bytes to the stream and returns the events completed by them, an empty array if there are none. */
+    byte[] append(byte[] data) {
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream(partialEvent.length + data.length);
+        buffer.writeBytes(partialEvent);
+        buffer.writeBytes(data);
+        byte[] all = buffer.toByteArray();
         int end = 0;
         int start = 0;
         for (int i = 1; i < all.length; i++) {
             if (all[i] == '\n' && all[i - 1] == '\n') {
                 end = i + 1;
-                events++;
-                done = startsWithLast(all, start);
+                eventCount++;
+                doneEventReceived = startsWithDoneEvent(all, start);
                 start = end;
             }
         }
-        rest = Arrays.copyOfRange(all, end, all.length);
+        partialEvent = Arrays.copyOfRange(all, end, all.length);
         return Arrays.copyOf(all, end);
     }
 
-    /** Forgets a part of an event, of which another attempt sends the whole. */
-    void dropRest() {
-        rest = new byte[0];
+    /** Discards an incomplete event. The next attempt sends this event again from its start. */
+    void discardPartialEvent() {
+        partialEvent = new byte[0];
     }
 
-    int events() {
-        return events;
+    /** Returns the number of complete events so far. */
+    int eventCount() {
+        return eventCount;
     }
 
-    /** Says whether the stream is whole: its last event came and nothing after it. */
-    boolean isWhole() {
-        return done && rest.length == 0;
+    /** Returns whether the stream is complete: its last event arrived, and nothing after it. */
+    boolean isComplete() {
+        return doneEventReceived && partialEvent.length == 0;
     }
 
-    private static boolean startsWithLast(byte[] all, int start) {
-        int end = start + LAST_EVENT.length;
-        return end <= all.length && Arrays.equals(all, start, end, LAST_EVENT, 0, LAST_EVENT.length);
+    private static boolean startsWithDoneEvent(byte[] all, int start) {
+        int end = start + DONE_EVENT.length;
+        return end <= all.length && Arrays.equals(all, start, end, DONE_EVENT, 0, DONE_EVENT.length);
     }
 }
--- a/core/src/main/java/org/citrontide/core/dispatch/OpenRequest.java
+++ b/core/src/main/java/org/citrontide/core/dispatch/OpenRequest.java
@@ -10,57 +10,57 @@
 /**
  * A caller's request that has no final answer yet.
  *
- * <p>Invariant: at most one attempt is current; frames of earlier attempts are not looked at. Not thread-safe.
+ * <p>Invariant: at most one attempt is in flight; frames of earlier attempts are ignored. Not thread-safe.
  */
 final class OpenRequest {
 
     /**
-     * The attempt under way.
+     * An attempt in flight.
      *
-     * @param number its number
-     * @param upstream where it was sent
+     * @param number number of the attempt
+     * @param upstream upstream that it was sent to
      */
     record Attempt(long number, UpstreamId upstream) {}
 
     final DispatchRequest request;
-    final Set<UpstreamId> tried = new HashSet<>();
+    final Set<UpstreamId> triedUpstreams = new HashSet<>();
     final EventSplitter splitter = new EventSplitter();
-    Optional<Attempt> attempt = Optional.empty();
-    int attempts;
+    Optional<Attempt> currentAttempt = Optional.empty();
+    int attemptCount;
 
-    /** Whether an attempt that has ended may have run. */
+    /** Whether an earlier attempt of this request may have run. */
     boolean mayHaveRun;
 
-    /** Status of the current attempt's answer, 0 before its head. */
+    /** HTTP status of the current attempt's answer, 0 until its head has arrived. */
     int status;
 
     String contentType = "";
 
-    /** Bytes of the current attempt's body received so far. */
-    long received;
+    /** Number of bytes received of the body of the current attempt's answer. */
+    long receivedBytes;
 
     /** Body of an answer that is not streamed. */
     ByteArrayOutputStream body = new ByteArrayOutputStream();
 
-    /** Whether the current attempt's answer is passed on event by event. */
+    /** Whether the current attempt's answer is a stream of server-sent events. */
     boolean streamed;
 
-    /** Whether the caller has the head of the answer. */
-    boolean begun;
+    /** Whether the head of a streamed answer has been sent to the caller. */
+    boolean streamBegun;
 
     OpenRequest(DispatchRequest request) {
         this.request = request;
     }
 
-    void beginAttempt(Attempt a) {
-        attempt = Optional.of(a);
-        attempts++;
-        tried.add(a.upstream());
+    void beginAttempt(Attempt attempt) {
+        currentAttempt = Optional.of(attempt);
+        attemptCount++;
+        triedUpstreams.add(attempt.upstream());
         status = 0;
         contentType = "";
-        received = 0;
+        receivedBytes = 0;
         streamed = false;
         body.reset();
-        splitter.dropRest();
+        splitter.discardPartialEvent();
     }
 }
--- a/core/src/test/java/org/citrontide/core/dispatch/DispatcherTest.java
+++ b/core/src/test/java/org/citrontide/core/dispatch/DispatcherTest.java
@@ -21,7 +21,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
-/** Checks what the dispatcher answers after attempts that ended in different ways. */
+/** Tests the verdicts and retries of the dispatcher for attempts that end in different ways. */
 final class DispatcherTest {
     private static final long SECOND = 1_000_000_000L;
     private static final String FILE = """
@@ -42,75 +42,79 @@
         Configuration c = Configuration.check(1, Map.of("b.toml", new Configuration.FileText(1, FILE)))
                 .value()
                 .orElseThrow();
-        on(new DispatchEvent.Configured(c));
-        on(new DispatchEvent.Listed(List.of(vm(A), vm(B))));
+        handle(new DispatchEvent.ConfigurationChanged(c));
+        handle(new DispatchEvent.VmListChanged(List.of(vm(A), vm(B))));
         for (UpstreamId id : List.of(A, B)) {
-            on(new DispatchEvent.LinkUp(id));
-            on(new DispatchEvent.Report(id, new SidecarReport(true, 0, 0, 0, 4, 0)));
+            handle(new DispatchEvent.LinkUp(id));
+            handle(new DispatchEvent.ReportReceived(id, new SidecarReport(true, 0, 0, 0, 4, 0)));
         }
     }
 
     @Test
     void refusalAfterLostAttemptIsMayHaveRun() {
-        DispatchAction.Send first = arrive(1, true);
-        List<DispatchAction> second = on(new DispatchEvent.LinkDown(first.upstream()));
-        long attempt =
-                assertInstanceOf(DispatchAction.Send.class, second.getFirst()).attempt();
-        Verdict verdict = refusedAfterRetries(attempt);
+        DispatchAction.SendAttempt first = arrive(1, true);
+        List<DispatchAction> second = handle(new DispatchEvent.LinkDown(first.upstream()));
+        long attempt = assertInstanceOf(DispatchAction.SendAttempt.class, second.getFirst())
+                .attempt();
+        Verdict verdict = verdictAfterRetriesAreRefused(attempt);
         assertInstanceOf(Verdict.MayHaveRun.class, verdict);
     }
 
     @Test
-    void refusalByAllIsNotRunWithTheTimeToComeBack() {
-        DispatchAction.Send first = arrive(1, false);
-        assertEquals(OVERLOADED, refusedAfterRetries(first.attempt()));
+    void refusalByAllUpstreamsIsNotRunWithRetryAfter() {
+        DispatchAction.SendAttempt first = arrive(1, false);
+        assertEquals(OVERLOADED, verdictAfterRetriesAreRefused(first.attempt()));
     }
 
     @Test
-    void unrepeatableRequestIsNotSentAgainAfterItMayHaveRun() {
-        DispatchAction.Send first = arrive(1, false);
-        List<DispatchAction> out = on(new DispatchEvent.LinkDown(first.upstream()));
-        assertEquals(List.of(new DispatchAction.Refuse(1, new Verdict.MayHaveRun(Reason.CONNECTION_LOST))), out);
+    void nonRepeatableRequestIsNotRetriedAfterItMayHaveRun() {
+        DispatchAction.SendAttempt first = arrive(1, false);
+        List<DispatchAction> actions = handle(new DispatchEvent.LinkDown(first.upstream()));
+        assertEquals(
+                List.of(new DispatchAction.RefuseRequest(1, new Verdict.MayHaveRun(Reason.CONNECTION_LOST))), actions);
     }
 
     @Test
-    void answerShorterThanAnnouncedIsNoAnswer() {
-        DispatchAction.Send first = arrive(1, false);
-        on(new DispatchEvent.Head(first.attempt(), 200, "text/plain"));
-        on(new DispatchEvent.Chunk(first.attempt(), 0, "half".getBytes(StandardCharsets.UTF_8)));
-        List<DispatchAction> out = on(new DispatchEvent.Ended(first.attempt(), new Verdict.Completed(200), 8));
-        assertEquals(List.of(new DispatchAction.Refuse(1, new Verdict.MayHaveRun(Reason.ANSWER_BROKEN))), out);
+    void answerShorterThanAnnouncedLengthIsRejected() {
+        DispatchAction.SendAttempt first = arrive(1, false);
+        handle(new DispatchEvent.AnswerHead(first.attempt(), 200, "text/plain"));
+        handle(new DispatchEvent.AnswerChunk(first.attempt(), 0, "half".getBytes(StandardCharsets.UTF_8)));
+        List<DispatchAction> actions =
+                handle(new DispatchEvent.AttemptEnded(first.attempt(), new Verdict.Completed(200), 8));
+        assertEquals(
+                List.of(new DispatchAction.RefuseRequest(1, new Verdict.MayHaveRun(Reason.ANSWER_BROKEN))), actions);
     }
 
     @Test
-    void drainingUpstreamGetsNoNewWork() {
-        on(new DispatchEvent.Report(A, new SidecarReport(false, 0, 0, 0, 4, 0)));
+    void drainingUpstreamGetsNoNewRequests() {
+        handle(new DispatchEvent.ReportReceived(A, new SidecarReport(false, 0, 0, 0, 4, 0)));
         for (int i = 1; i <= 20; i++) {
             assertEquals(B, arrive(i, true).upstream());
         }
     }
 
-    private Verdict refusedAfterRetries(long firstAttempt) {
+    private Verdict verdictAfterRetriesAreRefused(long firstAttempt) {
         long attempt = firstAttempt;
         while (true) {
-            DispatchAction next =
-                    on(new DispatchEvent.Ended(attempt, OVERLOADED, 0)).getFirst();
-            if (next instanceof DispatchAction.Refuse r) {
+            DispatchAction next = handle(new DispatchEvent.AttemptEnded(attempt, OVERLOADED, 0))
+                    .getFirst();
+            if (next instanceof DispatchAction.RefuseRequest r) {
                 return r.verdict();
             }
-            attempt = assertInstanceOf(DispatchAction.Send.class, next).attempt();
+            attempt = assertInstanceOf(DispatchAction.SendAttempt.class, next).attempt();
         }
     }
 
-    private DispatchAction.Send arrive(long id, boolean repeatable) {
+    private DispatchAction.SendAttempt arrive(long id, boolean repeatable) {
         DispatchRequest r = new DispatchRequest(
                 id, "booking", "ashworth", Urgency.LIVE, 1, repeatable, Optional.empty(), 10 * SECOND);
         return assertInstanceOf(
-                DispatchAction.Send.class, on(new DispatchEvent.Arrived(r)).getFirst());
+                DispatchAction.SendAttempt.class,
+                handle(new DispatchEvent.RequestArrived(r)).getFirst());
     }
 
-    private List<DispatchAction> on(DispatchEvent event) {
-        return dispatcher.on(event, SECOND);
+    private List<DispatchAction> handle(DispatchEvent event) {
+        return dispatcher.handle(event, SECOND);
     }
 
     private static ListedVm vm(UpstreamId id) {
--- a/core/src/test/java/org/citrontide/core/faults/FakeEntry.java
+++ b/core/src/test/java/org/citrontide/core/faults/FakeEntry.java
@@ -65,8 +65,8 @@
                 "mill-brook",
                 new UpstreamSubset("entry", "mill-brook", 100_000),
                 new SplittableRandom(world.loop.random.nextLong()));
-        step(new DispatchEvent.Configured(world.configuration));
-        step(new DispatchEvent.Listed(world.listed()));
+        step(new DispatchEvent.ConfigurationChanged(world.configuration));
+        step(new DispatchEvent.VmListChanged(world.listed()));
         world.sidecars.forEach(s -> world.connect(this, s));
     }
 
@@ -82,7 +82,7 @@
         Optional<Integer> bucket = a.key()
                 .filter(k -> !a.repeatable())
                 .map(k -> KeyHash.of("booking", a.team(), k).bucket());
-        step(new DispatchEvent.Arrived(new DispatchRequest(
+        step(new DispatchEvent.RequestArrived(new DispatchRequest(
                 a.id(),
                 "booking",
                 a.team(),
@@ -95,7 +95,7 @@
 
     void step(DispatchEvent event) {
         int start = starts;
-        for (DispatchAction a : dispatcher.on(event, world.loop.now())) {
+        for (DispatchAction a : dispatcher.handle(event, world.loop.now())) {
             if (start == starts) {
                 perform(a);
             }
@@ -108,7 +108,7 @@
 
     private void perform(DispatchAction action) {
         switch (action) {
-            case DispatchAction.Send s -> {
+            case DispatchAction.SendAttempt s -> {
                 Ask a = asks.get(s.request());
                 long left = s.remaining().toNanos();
                 FakeSidecar target = world.sidecar(s.upstream());
@@ -122,18 +122,18 @@
                         () -> world.toSidecar(
                                 this, target, () -> target.attempt(this, start, s.attempt(), a, left, resume)));
             }
-            case DispatchAction.Cancel c -> {
+            case DispatchAction.CancelAttempt c -> {
                 FakeSidecar target = world.sidecar(c.upstream());
                 world.toSidecar(this, target, () -> target.cancel(this, c.attempt()));
             }
-            case DispatchAction.Answer a ->
+            case DispatchAction.SendAnswer a ->
                 end(a.request(), new Verdict.Completed(a.status()), new String(a.body(), StandardCharsets.UTF_8));
             case DispatchAction.BeginStream b -> streams.put(b.request(), new StringBuilder());
-            case DispatchAction.Stream s ->
+            case DispatchAction.SendEvents s ->
                 streams.get(s.request()).append(new String(s.data(), StandardCharsets.UTF_8));
             case DispatchAction.EndStream s ->
                 end(s.request(), s.verdict(), streams.remove(s.request()).toString());
-            case DispatchAction.Refuse r -> end(r.request(), r.verdict(), "");
+            case DispatchAction.RefuseRequest r -> end(r.request(), r.verdict(), "");
             default -> {
                 // Links and credit are the shell's.
             }
--- a/core/src/test/java/org/citrontide/core/faults/FakeSidecar.java
+++ b/core/src/test/java/org/citrontide/core/faults/FakeSidecar.java
@@ -109,7 +109,7 @@
     }
 
     void report(FakeEntry entry) {
-        world.toEntry(this, entry, new DispatchEvent.Report(id, gate.report()));
+        world.toEntry(this, entry, new DispatchEvent.ReportReceived(id, gate.report()));
     }
 
     private void step(GateEvent event) {
@@ -131,7 +131,7 @@
             case GateAction.End e -> {
                 Open o = open.remove(e.id());
                 if (o != null) {
-                    answer(Step.ANSWER_END, o, new DispatchEvent.Ended(o.attempt(), e.verdict(), e.length()));
+                    answer(Step.ANSWER_END, o, new DispatchEvent.AttemptEnded(o.attempt(), e.verdict(), e.length()));
                 }
             }
             case GateAction.Drained d -> {
@@ -176,12 +176,12 @@
         }
         String type = o.ask().streamed() ? "text/event-stream" : "text/plain";
         List<String> chunks = o.ask().chunks(o.resume());
-        answer(Step.ANSWER_HEAD, o, new DispatchEvent.Head(o.attempt(), 200, type));
+        answer(Step.ANSWER_HEAD, o, new DispatchEvent.AnswerHead(o.attempt(), 200, type));
         long offset = 0;
         StringBuilder whole = new StringBuilder();
         for (String c : chunks) {
             byte[] bytes = c.getBytes(StandardCharsets.UTF_8);
-            answer(Step.ANSWER_CHUNK, o, new DispatchEvent.Chunk(o.attempt(), offset, bytes));
+            answer(Step.ANSWER_CHUNK, o, new DispatchEvent.AnswerChunk(o.attempt(), offset, bytes));
             offset += bytes.length;
             whole.append(c);
         }
@@ -192,9 +192,12 @@
     private void replay(GateAction.Replay r) {
         Open o = open.remove(r.id());
         StoredAnswer a = r.answer();
-        answer(Step.ANSWER_HEAD, o, new DispatchEvent.Head(o.attempt(), a.status(), a.contentType()));
-        answer(Step.ANSWER_CHUNK, o, new DispatchEvent.Chunk(o.attempt(), 0, a.body()));
-        answer(Step.ANSWER_END, o, new DispatchEvent.Ended(o.attempt(), new Verdict.Completed(200), a.body().length));
+        answer(Step.ANSWER_HEAD, o, new DispatchEvent.AnswerHead(o.attempt(), a.status(), a.contentType()));
+        answer(Step.ANSWER_CHUNK, o, new DispatchEvent.AnswerChunk(o.attempt(), 0, a.body()));
+        answer(
+                Step.ANSWER_END,
+                o,
+                new DispatchEvent.AttemptEnded(o.attempt(), new Verdict.Completed(200), a.body().length));
     }
 
     private void answer(Step step, Open o, DispatchEvent event) {
--- a/core/src/test/java/org/citrontide/core/faults/PolicyWorld.java
+++ b/core/src/test/java/org/citrontide/core/faults/PolicyWorld.java
@@ -103,11 +103,11 @@
             Dispatcher d =
                     new Dispatcher("z", new UpstreamSubset("entry", "z", 100_000), new SplittableRandom(seed + e));
             entries.add(d);
-            d.on(new DispatchEvent.Configured(c), 0);
-            d.on(new DispatchEvent.Listed(list), 0);
+            d.handle(new DispatchEvent.ConfigurationChanged(c), 0);
+            d.handle(new DispatchEvent.VmListChanged(list), 0);
             for (int i = 0; i < UPSTREAMS; i++) {
-                d.on(new DispatchEvent.LinkUp(id(i)), 0);
-                d.on(new DispatchEvent.Report(id(i), gates.get(i).report()), 0);
+                d.handle(new DispatchEvent.LinkUp(id(i)), 0);
+                d.handle(new DispatchEvent.ReportReceived(id(i), gates.get(i).report()), 0);
             }
         }
     }
@@ -144,7 +144,7 @@
         int cost = Math.max(1, (int) (s.cost() * (0.5 + loop.random.nextDouble())));
         entry(
                 e,
-                new DispatchEvent.Arrived(new DispatchRequest(
+                new DispatchEvent.RequestArrived(new DispatchRequest(
                         id,
                         "roster",
                         plain ? "all" : s.team(),
@@ -162,17 +162,17 @@
                 continue;
             }
             for (int e = 0; e < entries.size(); e++) {
-                entry(e, new DispatchEvent.Report(id(i), gates.get(i).report()));
+                entry(e, new DispatchEvent.ReportReceived(id(i), gates.get(i).report()));
             }
         }
     }
 
     private void entry(int e, DispatchEvent event) {
-        for (DispatchAction a : entries.get(e).on(event, loop.now())) {
+        for (DispatchAction a : entries.get(e).handle(event, loop.now())) {
             switch (a) {
-                case DispatchAction.Send s -> loop.after(NET, () -> arriveAtGate(e, s));
-                case DispatchAction.Answer x -> completed(x.request());
-                case DispatchAction.Refuse r -> refused(r.request(), r.verdict());
+                case DispatchAction.SendAttempt s -> loop.after(NET, () -> arriveAtGate(e, s));
+                case DispatchAction.SendAnswer x -> completed(x.request());
+                case DispatchAction.RefuseRequest r -> refused(r.request(), r.verdict());
                 default -> {
                     // No streams here.
                 }
@@ -180,7 +180,7 @@
         }
     }
 
-    private void arriveAtGate(int e, DispatchAction.Send s) {
+    private void arriveAtGate(int e, DispatchAction.SendAttempt s) {
         Ask a = asks.get(s.request());
         long number = nextNumber++;
         attemptOf.put(number, s.attempt());
@@ -219,9 +219,9 @@
                         served(e, attempt, r);
                     }
                     loop.after(NET, () -> {
-                        entry(e, new DispatchEvent.Head(attempt, 200, ""));
-                        entry(e, new DispatchEvent.Ended(attempt, end.verdict(), 0));
-                        entry(e, new DispatchEvent.Report(id(i), load));
+                        entry(e, new DispatchEvent.AnswerHead(attempt, 200, ""));
+                        entry(e, new DispatchEvent.AttemptEnded(attempt, end.verdict(), 0));
+                        entry(e, new DispatchEvent.ReportReceived(id(i), load));
                     });
                 }
                 default -> {
--- a/dist/src/test/java/org/citrontide/dist/SlopeBench.java
+++ b/dist/src/test/java/org/citrontide/dist/SlopeBench.java
@@ -114,25 +114,28 @@
         time("dispatch-and-end upstreams=" + upstreams, i -> {
             DispatchRequest r = new DispatchRequest(
                     i, "s", "team" + i % 250, Urgency.LIVE, 100, true, Optional.empty(), Long.MAX_VALUE);
-            DispatchAction.Send s =
-                    (DispatchAction.Send) d.on(new DispatchEvent.Arrived(r), i).getFirst();
-            d.on(new DispatchEvent.Head(s.attempt(), 200, ""), i);
-            d.on(new DispatchEvent.Ended(s.attempt(), new Verdict.Completed(200), 0), i);
+            DispatchAction.SendAttempt s = (DispatchAction.SendAttempt)
+                    d.handle(new DispatchEvent.RequestArrived(r), i).getFirst();
+            d.handle(new DispatchEvent.AnswerHead(s.attempt(), 200, ""), i);
+            d.handle(new DispatchEvent.AttemptEnded(s.attempt(), new Verdict.Completed(200), 0), i);
         });
     }
 
     private static Dispatcher dispatcherOf(int upstreams) {
         Dispatcher d = new Dispatcher("z", new UpstreamSubset("entry", "z", 100_000), new SplittableRandom(1));
         Map<String, Configuration.FileText> files = Map.of("s.toml", new Configuration.FileText(1, FILE));
-        d.on(new DispatchEvent.Configured(Configuration.check(1, files).value().orElseThrow()), 0);
+        d.handle(
+                new DispatchEvent.ConfigurationChanged(
+                        Configuration.check(1, files).value().orElseThrow()),
+                0);
         List<ListedVm> list = new ArrayList<>();
         for (int i = 0; i < upstreams; i++) {
             list.add(new ListedVm("vm" + i, "z", "s", new UpstreamId("10.0." + i / 250 + "." + i % 250, 9000), false));
         }
-        d.on(new DispatchEvent.Listed(list), 0);
+        d.handle(new DispatchEvent.VmListChanged(list), 0);
         for (ListedVm vm : list) {
-            d.on(new DispatchEvent.LinkUp(vm.id()), 0);
-            d.on(new DispatchEvent.Report(vm.id(), new SidecarReport(true, 1, 0, 0, 8, 0)), 0);
+            d.handle(new DispatchEvent.LinkUp(vm.id()), 0);
+            d.handle(new DispatchEvent.ReportReceived(vm.id(), new SidecarReport(true, 1, 0, 0, 8, 0)), 0);
         }
         return d;
     }
--- a/entry/src/main/java/org/citrontide/entry/daemon/EntryModule.java
+++ b/entry/src/main/java/org/citrontide/entry/daemon/EntryModule.java
@@ -77,7 +77,10 @@
     @Singleton
     ConfigurationService configuration(StoreClient store, RandomGenerator r, DispatchShell dispatch) {
         return new ConfigurationService(
-                new StoredConfiguration(store), Clock.SYSTEM, r, c -> dispatch.learn(new DispatchEvent.Configured(c)));
+                new StoredConfiguration(store),
+                Clock.SYSTEM,
+                r,
+                c -> dispatch.learn(new DispatchEvent.ConfigurationChanged(c)));
     }
 
     @Provides
--- a/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
+++ b/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
@@ -130,7 +130,7 @@
         exchanges.put(id, exchange);
         exchange.onCallerGone(() -> callerGone(id));
         boolean taken = exchanges.size() <= maxOpenRequests
-                && duty.offer(new DispatchEvent.Arrived(facts(id, exchange.context())));
+                && duty.offer(new DispatchEvent.RequestArrived(facts(id, exchange.context())));
         if (!taken) {
             Verdict full = new Verdict.NotRun(Reason.RING_FULL, RING_FULL_RETRY_AFTER);
             finish(id, full).ifPresent(e -> e.refuse(full, "this entry is overloaded"));
@@ -166,12 +166,12 @@
         switch (frame.getBodyCase()) {
             case STATUS -> report(id(link), frame.getStatus());
             case ANSWER_HEAD ->
-                duty.put(new DispatchEvent.Head(
+                duty.put(new DispatchEvent.AnswerHead(
                         frame.getAnswerHead().getId(),
                         frame.getAnswerHead().getStatus(),
                         frame.getAnswerHead().getContentType()));
             case ANSWER_CHUNK ->
-                duty.put(new DispatchEvent.Chunk(
+                duty.put(new DispatchEvent.AnswerChunk(
                         frame.getAnswerChunk().getId(),
                         frame.getAnswerChunk().getOffset(),
                         frame.getAnswerChunk().getData().toByteArray()));
@@ -190,18 +190,19 @@
     }
 
     private void callerGone(long id) {
-        finish(id, new Verdict.MayHaveRun(Reason.CANCELLED)).ifPresent(e -> duty.put(new DispatchEvent.CallerGone(id)));
+        finish(id, new Verdict.MayHaveRun(Reason.CANCELLED))
+                .ifPresent(e -> duty.put(new DispatchEvent.CallerDisconnected(id)));
     }
 
     private void report(UpstreamId id, StatusReport s) {
         SidecarReport r = new SidecarReport(
                 s.getAccepting(), s.getRunning(), s.getWaiting(), s.getWaitMs(), s.getSlots(), s.getLiveAhead());
         reports.put(id, r);
-        duty.put(new DispatchEvent.Report(id, r));
+        duty.put(new DispatchEvent.ReportReceived(id, r));
     }
 
     private void ended(UpstreamId id, AnswerEnd end) {
-        duty.put(new DispatchEvent.Ended(end.getId(), VerdictCodec.decode(end, 0), end.getLength()));
+        duty.put(new DispatchEvent.AttemptEnded(end.getId(), VerdictCodec.decode(end, 0), end.getLength()));
         if (end.hasLoad()) {
             report(id, end.getLoad());
         }
@@ -223,23 +224,23 @@
 
     private void perform(DispatchAction action) {
         switch (action) {
-            case DispatchAction.Send s -> send(s);
-            case DispatchAction.Cancel c -> cancel(c);
-            case DispatchAction.Credit c -> credit(c.attempt(), c.upstream(), c.bytes());
-            case DispatchAction.Answer a ->
+            case DispatchAction.SendAttempt s -> send(s);
+            case DispatchAction.CancelAttempt c -> cancel(c);
+            case DispatchAction.GrantCredit c -> credit(c.attempt(), c.upstream(), c.bytes());
+            case DispatchAction.SendAnswer a ->
                 finish(a.request(), new Verdict.Completed(a.status()))
                         .ifPresent(e -> e.answer(a.status(), a.contentType(), a.body()));
             case DispatchAction.BeginStream b ->
                 find(b.request()).ifPresent(e -> e.beginStream(b.status(), b.contentType()));
-            case DispatchAction.Stream s ->
+            case DispatchAction.SendEvents s ->
                 find(s.request())
                         .ifPresent(e -> e.stream(s.data(), () -> credit(s.attempt(), s.upstream(), s.credit())));
             case DispatchAction.EndStream s ->
                 finish(s.request(), s.verdict()).ifPresent(e -> e.endStream(s.verdict()));
-            case DispatchAction.Refuse r ->
+            case DispatchAction.RefuseRequest r ->
                 finish(r.request(), r.verdict()).ifPresent(e -> e.refuse(r.verdict(), "see the title for the reason"));
-            case DispatchAction.Dial d -> dial(d.upstream());
-            case DispatchAction.Drop d ->
+            case DispatchAction.OpenLink d -> dial(d.upstream());
+            case DispatchAction.CloseLink d ->
                 Optional.ofNullable(dialled.remove(d.upstream())).ifPresent(LinkEndpoint.Dialled::close);
         }
     }
@@ -248,15 +249,15 @@
         dialled.computeIfAbsent(id, i -> dial.apply(new InetSocketAddress(i.host(), i.port())));
         if (links.containsKey(id)) {
             step(new DispatchEvent.LinkUp(id));
-            Optional.ofNullable(reports.get(id)).ifPresent(r -> step(new DispatchEvent.Report(id, r)));
+            Optional.ofNullable(reports.get(id)).ifPresent(r -> step(new DispatchEvent.ReportReceived(id, r)));
         }
     }
 
-    private void send(DispatchAction.Send s) {
+    private void send(DispatchAction.SendAttempt s) {
         Link link = links.get(s.upstream());
         Optional<CallerExchange> exchange = find(s.request());
         if (link == null || exchange.isEmpty()) {
-            duty.put(new DispatchEvent.NotSent(s.attempt()));
+            duty.put(new DispatchEvent.SendFailed(s.attempt()));
             return;
         }
         RequestContext c = exchange.get().context();
@@ -279,7 +280,7 @@
                 .setWindow(WINDOW_BYTES);
         link.send(Frame.newBuilder().setAttempt(a).build(), sent -> {
             if (!sent) {
-                duty.put(new DispatchEvent.NotSent(s.attempt()));
+                duty.put(new DispatchEvent.SendFailed(s.attempt()));
             }
         });
     }
@@ -288,7 +289,7 @@
         return UnsafeByteOperations.unsafeWrap(c.body());
     }
 
-    private void cancel(DispatchAction.Cancel c) {
+    private void cancel(DispatchAction.CancelAttempt c) {
         Optional.ofNullable(links.get(c.upstream()))
                 .ifPresent(l -> l.send(Frame.newBuilder()
                         .setCancel(Cancel.newBuilder().setId(c.attempt()))
@@ -333,13 +334,13 @@
     }
 
     private void step(DispatchEvent event) {
-        dispatcher.on(event, clock.nanos()).forEach(this::perform);
+        dispatcher.handle(event, clock.nanos()).forEach(this::perform);
     }
 
     private final class DispatchHandler implements Duty.Handler<DispatchEvent> {
         @Override
         public void handle(DispatchEvent event) {
-            if (event instanceof DispatchEvent.Configured c) {
+            if (event instanceof DispatchEvent.ConfigurationChanged c) {
                 version = c.configuration().version();
             }
             step(event);
