--- a/core/src/main/java/org/citrontide/core/gate/AttemptSequence.java
+++ b/core/src/main/java/org/citrontide/core/gate/AttemptSequence.java
@@ -1,24 +1,24 @@
 package org.citrontide.core.gate;
 
 /**
- * Recognises attempts that arrive twice on one link. An entry numbers its attempts upwards and sends them in order.
+ * Detects duplicate attempts on one link. An entry numbers its attempts in ascending order and sends them in that order.
  *
  * <p>Invariant: each number is accepted at most once. Not thread-safe.
  */
 public final class AttemptSequence {
-    private long highest;
+    private long highestAccepted;
 
     /**
-     * Takes the number of an attempt.
+     * Accepts an attempt unless it is a duplicate.
      *
-     * @param number the entry's number
-     * @return false if the attempt arrived before, and must be dropped
+     * @param number number that the entry gave the attempt
+     * @return false if the attempt is a duplicate and must be dropped
      */
     public boolean accept(long number) {
-        if (number <= highest) {
+        if (number <= highestAccepted) {
             return false;
         }
-        highest = number;
+        highestAccepted = number;
         return true;
     }
 }
--- a/core/src/main/java/org/citrontide/core/gate/CallOutcome.java
+++ b/core/src/main/java/org/citrontide/core/gate/CallOutcome.java
@@ -5,29 +5,29 @@
 import org.citrontide.core.claim.StoredAnswer;
 import org.citrontide.core.verdict.Reason;
 
-/** How a call to the upstream ended. Immutable. */
+/** The outcome of a call to the upstream. Immutable. */
 public sealed interface CallOutcome {
 
     /**
-     * The whole answer has passed through.
+     * The complete answer was received and passed on.
      *
      * @param status HTTP status
      * @param length length of the body in bytes
-     * @param answer the whole answer, if it is small enough to be kept
+     * @param answer the complete answer, present if it is small enough to be stored
      */
     record Answered(int status, long length, Optional<StoredAnswer> answer) implements CallOutcome {}
 
     /**
-     * No byte of the request left this process.
+     * No byte of the request was sent.
      *
-     * @param reason why
+     * @param reason reason why the request was not sent
      */
     record NeverSent(Reason reason) implements CallOutcome {}
 
     /**
-     * The request left, and its whole answer did not arrive.
+     * The request was sent, but its answer did not arrive completely.
      *
-     * @param reason why
+     * @param reason reason why the answer is incomplete
      */
-    record Lost(Reason reason) implements CallOutcome {}
+    record AnswerLost(Reason reason) implements CallOutcome {}
 }
--- a/core/src/main/java/org/citrontide/core/gate/GateAction.java
+++ b/core/src/main/java/org/citrontide/core/gate/GateAction.java
@@ -4,49 +4,49 @@
 import org.citrontide.core.claim.StoredAnswer;
 import org.citrontide.core.verdict.Verdict;
 
-/** What a {@link SidecarGate} asks of its shell. Immutable. */
+/** An action that a {@link SidecarGate} requests from its shell. Immutable. */
 public sealed interface GateAction {
 
     /**
-     * Call the upstream, but only if the request can leave before both times.
+     * Calls the upstream, provided that the request can be sent before both time limits.
      *
      * @param id number of the attempt
-     * @param latestNanos monotonic time in ns after which it must not leave
-     * @param latestEpochMillis wall-clock time in ms since 1970 after which it must not leave
+     * @param latestNanos monotonic time in ns after which the request must not be sent
+     * @param latestEpochMillis wall-clock time in ms since 1970 after which the request must not be sent
      */
-    record Start(long id, long latestNanos, long latestEpochMillis) implements GateAction {}
+    record StartCall(long id, long latestNanos, long latestEpochMillis) implements GateAction {}
 
     /**
-     * Break off the call to the upstream; its end is reported as usual.
+     * Aborts the call to the upstream. The end of the call is still reported.
      *
      * @param id number of the attempt
      */
-    record Abort(long id) implements GateAction {}
+    record AbortCall(long id) implements GateAction {}
 
     /**
-     * Tell the entry how the attempt ended.
+     * Reports the outcome of an attempt to the entry.
      *
      * @param id number of the attempt
-     * @param verdict its outcome
-     * @param length length of the body in bytes, of use only if it completed
+     * @param verdict outcome of the attempt
+     * @param length length of the body in bytes, valid only if the attempt completed
      */
-    record End(long id, Verdict verdict, long length) implements GateAction {}
+    record EndAttempt(long id, Verdict verdict, long length) implements GateAction {}
 
     /**
-     * Send an answer from memory.
+     * Sends the stored answer of an earlier attempt.
      *
      * @param id number of the attempt
-     * @param answer the answer
+     * @param answer the stored answer
      */
-    record Replay(long id, StoredAnswer answer) implements GateAction {}
+    record ReplayAnswer(long id, StoredAnswer answer) implements GateAction {}
 
     /**
-     * Call the platform's service.
+     * Calls the platform's store of claims.
      *
-     * @param call the read or write
+     * @param call the read or write to perform
      */
-    record ClaimCall(ClaimAction call) implements GateAction {}
+    record CallClaimStore(ClaimAction call) implements GateAction {}
 
-    /** The last request has ended after a drain. */
-    record Drained() implements GateAction {}
+    /** Reports that the drain is complete: no attempt holds a slot any more. */
+    record DrainCompleted() implements GateAction {}
 }
--- a/core/src/main/java/org/citrontide/core/gate/GateEvent.java
+++ b/core/src/main/java/org/citrontide/core/gate/GateEvent.java
@@ -3,48 +3,48 @@
 import org.citrontide.core.claim.ClaimEvent;
 import org.citrontide.core.publication.ServiceFile;
 
-/** What happens to a {@link SidecarGate}. Immutable. */
+/** An event that a {@link SidecarGate} handles. Immutable. */
 public sealed interface GateEvent {
 
     /**
      * An attempt arrived.
      *
-     * @param request the attempt
+     * @param request request of the attempt
      */
-    record Arrived(GateRequest request) implements GateEvent {}
+    record AttemptArrived(GateRequest request) implements GateEvent {}
 
     /**
-     * Nobody waits for an attempt any more.
+     * An attempt was cancelled: its result is no longer needed.
      *
      * @param id number of the attempt
      */
-    record Cancelled(long id) implements GateEvent {}
+    record AttemptCancelled(long id) implements GateEvent {}
 
     /**
-     * A started call ended.
+     * A call to the upstream ended.
      *
      * @param id number of the attempt
-     * @param outcome how
+     * @param outcome outcome of the call
      */
-    record Ended(long id, CallOutcome outcome) implements GateEvent {}
+    record CallEnded(long id, CallOutcome outcome) implements GateEvent {}
 
     /**
-     * The platform's service answered a claim call.
+     * A call to the platform's store of claims returned.
      *
-     * @param event the answer
+     * @param event result of the call
      */
-    record ClaimAnswered(ClaimEvent event) implements GateEvent {}
+    record ClaimReplyReceived(ClaimEvent event) implements GateEvent {}
 
     /**
-     * A configuration is in force.
+     * A new configuration took effect.
      *
-     * @param file the file of the service behind this gate
+     * @param file configuration file of the service behind this gate
      */
-    record Configured(ServiceFile file) implements GateEvent {}
+    record ConfigurationChanged(ServiceFile file) implements GateEvent {}
 
-    /** This process is stopping. */
-    record Drain() implements GateEvent {}
+    /** The process is shutting down; the gate must drain. */
+    record DrainRequested() implements GateEvent {}
 
-    /** Time passed. */
+    /** The periodic check of deadlines is due. */
     record Tick() implements GateEvent {}
 }
--- a/core/src/main/java/org/citrontide/core/gate/GateRequest.java
+++ b/core/src/main/java/org/citrontide/core/gate/GateRequest.java
@@ -7,26 +7,26 @@
 import org.citrontide.core.queue.Waiting;
 
 /**
- * One attempt in front of an upstream. Immutable.
+ * The request of one attempt at the gate of an upstream. Immutable.
  *
- * @param waiting its place in the queue; the identifier is never used twice in a process
- * @param repeatable whether running it twice does no harm
- * @param key hash of its idempotency key, if it has one
- * @param deadlineEpochMillis its deadline by the entry's wall clock, in ms since 1970; it tells the age of an attempt
- *     that lay unread while this process was frozen, which the monotonic deadline from the time of reading can't
+ * @param waiting entry of the request in the queue; its identifier is unique within the process
+ * @param repeatable whether the request may safely run more than once
+ * @param key hash of its idempotency key, empty if it has none
+ * @param deadlineEpochMillis deadline by the entry's wall clock, in ms since 1970. It detects attempts that were left
+ *     unread while this process was suspended; the monotonic deadline cannot, since it is computed at the time of reading
  */
 public record GateRequest(Waiting waiting, boolean repeatable, Optional<KeyHash> key, long deadlineEpochMillis) {
 
     /**
-     * Returns the identifier.
+     * Returns the identifier of the attempt.
      *
-     * @return number of the attempt
+     * @return number of the attempt, unique within the process
      */
     public long id() {
         return waiting.id();
     }
 
-    /** The latest start by this process's wall clock, which may differ from the entry's by the margin. */
+    /** Returns the latest start by this process's wall clock, which may differ from the entry's by the clock margin. */
     long latestEpochMillis() {
         return deadlineEpochMillis + ClaimLedger.CLOCK_MARGIN.toMillis();
     }
--- a/core/src/main/java/org/citrontide/core/gate/SidecarGate.java
+++ b/core/src/main/java/org/citrontide/core/gate/SidecarGate.java
@@ -20,24 +20,24 @@
 import org.citrontide.core.verdict.Verdict;
 
 /**
- * The gate before one upstream: queue, slots, claims and drain.
+ * Controls access to one upstream: queueing, concurrency slots, claims and draining.
  *
  * <p>Invariants:
  *
  * <ul>
  *   <li>At most {@link ServiceFile.Limits#slots()} attempts hold a slot; an attempt holds one from the moment it leaves
  *       the queue until its end. Attempts of lower classes leave {@link ServiceFile.Limits#liveSlots()} to live ones.
- *   <li>Every attempt that arrived ends in exactly one {@link GateAction.End} or {@link GateAction.Replay}.
- *   <li>An attempt that ends in {@link Verdict.NotRun} was never started, or its call never left.
- *   <li>A call that must not be repeated and has a key starts only under a claim; it goes on after its caller has
- *       left, so that its answer is known.
- *   <li>After {@link GateEvent.Drain} nothing new starts, except attempts that already hold a slot.
+ *   <li>Every attempt that arrives ends in exactly one {@link GateAction.EndAttempt} or {@link GateAction.ReplayAnswer}.
+ *   <li>An attempt that ends in {@link Verdict.NotRun} was never started, or its call was never sent.
+ *   <li>A call that is not repeatable and has a key starts only under a claim; it continues after its caller has
+ *       disconnected, so that its answer is known.
+ *   <li>After {@link GateEvent.DrainRequested} no attempt starts except those that already hold a slot.
  * </ul>
  *
- * <p>Not thread-safe: one thread owns it. It does no I/O and reads no clock.
+ * <p>Not thread-safe: confined to one thread. Does no I/O and reads no clock.
  */
 public final class SidecarGate {
-    private static final Duration LEAST_RETRY_AFTER = Duration.ofSeconds(1);
+    private static final Duration MIN_RETRY_AFTER = Duration.ofSeconds(1);
     private static final Duration MAX_RETRY_AFTER = Duration.ofSeconds(60);
     private static final double SERVICE_TIME_WEIGHT = 0.1;
     private static final double NANOS_PER_MILLI = 1e6;
@@ -50,50 +50,55 @@
     private Optional<SidecarQueue> queue = Optional.empty();
     private boolean draining;
     private boolean drainedReported;
-    private double serviceMillis;
+    private double meanServiceMillis;
 
     /**
-     * Makes a gate that refuses everything until it is configured.
+     * Creates a gate that refuses every attempt until it is configured.
      *
-     * @param incarnation random number drawn at the start of this process
+     * @param incarnation random number that identifies this run of the process
      */
     public SidecarGate(long incarnation) {
         this.ledger = new ClaimLedger(incarnation, Duration.ofDays(1));
     }
 
     /**
-     * Takes one event.
+     * Handles an event.
      *
-     * @param event what happened
+     * @param event the event to handle
      * @param nowNanos monotonic time in ns
      * @param epochMillis wall-clock time in ms since 1970
-     * @return what the shell must do, in order
+     * @return the actions for the shell to perform, in order
      */
-    public List<GateAction> on(GateEvent event, long nowNanos, long epochMillis) {
-        Step step = new Step(nowNanos, epochMillis);
+    public List<GateAction> handle(GateEvent event, long nowNanos, long epochMillis) {
+        EventHandler handler = new EventHandler(nowNanos, epochMillis);
         switch (event) {
-            case GateEvent.Arrived a -> step.arrived(a.request());
-            case GateEvent.Cancelled c -> step.cancelled(c.id());
-            case GateEvent.Ended e -> step.ended(e.id(), e.outcome());
-            case GateEvent.ClaimAnswered c -> step.claim(c.event());
-            case GateEvent.Configured c -> configure(c.file());
-            case GateEvent.Drain d -> step.drain();
-            case GateEvent.Tick t -> step.tick();
+            case GateEvent.AttemptArrived a -> handler.attemptArrived(a.request());
+            case GateEvent.AttemptCancelled c -> handler.attemptCancelled(c.id());
+            case GateEvent.CallEnded e -> handler.callEnded(e.id(), e.outcome());
+            case GateEvent.ClaimReplyReceived c -> handler.handleClaimEvent(c.event());
+            case GateEvent.ConfigurationChanged c -> configure(c.file());
+            case GateEvent.DrainRequested d -> handler.drain();
+            case GateEvent.Tick t -> handler.expireAttempts();
         }
-        step.fillSlots();
-        step.reportDrained();
-        return step.out;
+        handler.fillSlots();
+        handler.reportDrained();
+        return handler.actions;
     }
 
     /**
-     * Returns the state that entries are told.
+     * Returns the state to report to the entries.
      *
      * @return load and readiness
      */
     public SidecarReport report() {
         int count = queue.map(SidecarQueue::size).orElse(0);
         return new SidecarReport(
-                file.isPresent() && !draining, slots.size(), count, (int) waitMillis(), maxSlots(), liveAhead());
+                file.isPresent() && !draining,
+                slots.size(),
+                count,
+                (int) estimatedWaitMillis(),
+                maxSlots(),
+                liveAttempts());
     }
 
     /**
@@ -106,70 +111,70 @@
         return Math.min(queued, ledger.nextDeadlineNanos());
     }
 
-    private void configure(ServiceFile f) {
-        file = Optional.of(f);
-        ledger.configure(f.limits().claimWindow());
-        QueueShares shares = QueueShares.of(f);
+    private void configure(ServiceFile newFile) {
+        file = Optional.of(newFile);
+        ledger.configure(newFile.limits().claimWindow());
+        QueueShares shares = QueueShares.of(newFile);
         queue.ifPresentOrElse(q -> q.configure(shares), () -> queue = Optional.of(new SidecarQueue(shares)));
     }
 
-    private int liveRunning() {
+    private int liveSlotsInUse() {
         return (int) slots.values().stream()
                 .filter(s -> s.request.waiting().urgency() == Urgency.LIVE)
                 .count();
     }
 
-    private int liveAhead() {
-        return liveRunning() + queue.map(q -> q.size(Urgency.LIVE)).orElse(0);
+    private int liveAttempts() {
+        return liveSlotsInUse() + queue.map(q -> q.size(Urgency.LIVE)).orElse(0);
     }
 
     private int maxSlots() {
         return file.map(f -> f.limits().slots()).orElse(0);
     }
 
-    private double waitMillis() {
+    private double estimatedWaitMillis() {
         int ahead = queue.map(SidecarQueue::size).orElse(0);
-        return ahead == 0 ? 0 : serviceMillis * ahead / Math.max(1, maxSlots());
+        return ahead == 0 ? 0 : meanServiceMillis * ahead / Math.max(1, maxSlots());
     }
 
     private Duration retryAfter() {
-        Duration wait = Duration.ofMillis((long) waitMillis());
-        if (wait.compareTo(LEAST_RETRY_AFTER) < 0) {
-            return LEAST_RETRY_AFTER;
+        Duration wait = Duration.ofMillis((long) estimatedWaitMillis());
+        if (wait.compareTo(MIN_RETRY_AFTER) < 0) {
+            return MIN_RETRY_AFTER;
         }
         return wait.compareTo(MAX_RETRY_AFTER) > 0 ? MAX_RETRY_AFTER : wait;
     }
 
     private static final class Slot {
         private final GateRequest request;
-        private final long sinceNanos;
+        private final long occupiedSinceNanos;
         private boolean started;
         private boolean cancelled;
 
-        private Slot(GateRequest request, long sinceNanos) {
+        private Slot(GateRequest request, long occupiedSinceNanos) {
             this.request = request;
-            this.sinceNanos = sinceNanos;
+            this.occupiedSinceNanos = occupiedSinceNanos;
         }
     }
 
-    /** The handling of one event. */
-    private final class Step {
+    /** Handles one event and collects the resulting actions. */
+    private final class EventHandler {
         private final long nowNanos;
         private final long epochMillis;
-        private final List<GateAction> out = new ArrayList<>();
+        private final List<GateAction> actions = new ArrayList<>();
 
-        private Step(long nowNanos, long epochMillis) {
+        private EventHandler(long nowNanos, long epochMillis) {
             this.nowNanos = nowNanos;
             this.epochMillis = epochMillis;
         }
 
-        private void arrived(GateRequest r) {
+        private void attemptArrived(GateRequest r) {
             if (draining) {
                 refuse(r.id(), Reason.DRAINING, Duration.ZERO);
                 return;
             }
             if (queue.isEmpty()) {
-                refuse(r.id(), Reason.NOT_READY, LEAST_RETRY_AFTER);
+                refuse(r.id(), Reason.NOT_READY, MIN_RETRY_AFTER);
                 return;
             }
             if (nowNanos >= r.waiting().deadlineNanos() || epochMillis >= r.latestEpochMillis()) {
@@ -178,15 +183,15 @@
             }
             waiting.put(r.id(), r);
             if (r.waiting().urgency() == Urgency.LIVE) {
-                liveDemand.arrived(liveAhead() + 1, nowNanos);
+                liveDemand.recordArrival(liveAttempts() + 1, nowNanos);
             }
-            queue.get().offer(r.waiting()).ifPresent(victim -> {
-                waiting.remove(victim.id());
-                refuse(victim.id(), Reason.OVERLOADED, retryAfter());
+            queue.get().offer(r.waiting()).ifPresent(evicted -> {
+                waiting.remove(evicted.id());
+                refuse(evicted.id(), Reason.OVERLOADED, retryAfter());
             });
         }
 
-        private void cancelled(long id) {
+        private void attemptCancelled(long id) {
             if (waiting.remove(id) != null) {
                 queue.orElseThrow().remove(id);
                 refuse(id, Reason.CANCELLED, Duration.ZERO);
@@ -198,82 +203,83 @@
             }
             if (!slot.started) {
                 slots.remove(id);
-                claim(new ClaimEvent.NeverSent(id));
+                handleClaimEvent(new ClaimEvent.NeverSent(id));
                 refuse(id, Reason.CANCELLED, Duration.ZERO);
             } else if (slot.request.repeatable()) {
                 slot.cancelled = true;
-                out.add(new GateAction.Abort(id));
+                actions.add(new GateAction.AbortCall(id));
             }
         }
 
-        private void ended(long id, CallOutcome outcome) {
+        private void callEnded(long id, CallOutcome outcome) {
             Slot slot = slots.remove(id);
             if (slot == null) {
                 return;
             }
-            boolean claimed = slot.request.needsClaim();
+            boolean hasClaim = slot.request.needsClaim();
             switch (outcome) {
                 case CallOutcome.Answered a -> {
-                    learnServiceTime(slot);
-                    out.add(new GateAction.End(id, new Verdict.Completed(a.status()), a.length()));
-                    if (claimed) {
-                        claim(new ClaimEvent.Finished(id, a.answer()));
+                    recordServiceTime(slot);
+                    actions.add(new GateAction.EndAttempt(id, new Verdict.Completed(a.status()), a.length()));
+                    if (hasClaim) {
+                        handleClaimEvent(new ClaimEvent.Finished(id, a.answer()));
                     }
                 }
                 case CallOutcome.NeverSent n -> {
-                    refuse(id, n.reason(), LEAST_RETRY_AFTER);
-                    if (claimed) {
-                        claim(new ClaimEvent.NeverSent(id));
+                    refuse(id, n.reason(), MIN_RETRY_AFTER);
+                    if (hasClaim) {
+                        handleClaimEvent(new ClaimEvent.NeverSent(id));
                     }
                 }
-                case CallOutcome.Lost l -> {
+                case CallOutcome.AnswerLost l -> {
                     Reason reason = slot.cancelled ? Reason.CANCELLED : l.reason();
-                    out.add(new GateAction.End(id, new Verdict.MayHaveRun(reason), 0));
-                    if (claimed) {
-                        claim(new ClaimEvent.Finished(id, Optional.empty()));
+                    actions.add(new GateAction.EndAttempt(id, new Verdict.MayHaveRun(reason), 0));
+                    if (hasClaim) {
+                        handleClaimEvent(new ClaimEvent.Finished(id, Optional.empty()));
                     }
                 }
             }
         }
 
-        private void learnServiceTime(Slot slot) {
-            double millis = (nowNanos - slot.sinceNanos) / NANOS_PER_MILLI;
-            serviceMillis =
-                    serviceMillis == 0 ? millis : serviceMillis + SERVICE_TIME_WEIGHT * (millis - serviceMillis);
+        private void recordServiceTime(Slot slot) {
+            double millis = (nowNanos - slot.occupiedSinceNanos) / NANOS_PER_MILLI;
+            meanServiceMillis = meanServiceMillis == 0
+                    ? millis
+                    : meanServiceMillis + SERVICE_TIME_WEIGHT * (millis - meanServiceMillis);
         }
 
-        private void claim(ClaimEvent event) {
+        private void handleClaimEvent(ClaimEvent event) {
             for (ClaimAction a : ledger.on(event, nowNanos, epochMillis)) {
                 switch (a) {
-                    case ClaimAction.Read r -> out.add(new GateAction.ClaimCall(r));
-                    case ClaimAction.Write w -> out.add(new GateAction.ClaimCall(w));
-                    case ClaimAction.Granted g -> granted(g.attempt());
+                    case ClaimAction.Read r -> actions.add(new GateAction.CallClaimStore(r));
+                    case ClaimAction.Write w -> actions.add(new GateAction.CallClaimStore(w));
+                    case ClaimAction.Granted g -> claimGranted(g.attempt());
                     case ClaimAction.Denied d -> {
                         slots.remove(d.attempt());
-                        out.add(new GateAction.End(d.attempt(), d.verdict(), 0));
+                        actions.add(new GateAction.EndAttempt(d.attempt(), d.verdict(), 0));
                     }
                     case ClaimAction.Replay r -> {
                         slots.remove(r.attempt());
-                        out.add(new GateAction.Replay(r.attempt(), r.answer()));
+                        actions.add(new GateAction.ReplayAnswer(r.attempt(), r.answer()));
                     }
                 }
             }
         }
 
-        private void granted(long id) {
+        private void claimGranted(long id) {
             Slot slot = slots.get(id);
             Optional<ClaimLedger.LatestStart> latest = ledger.latestStart(id);
             if (slot == null || latest.isEmpty()) {
                 return;
             }
-            start(slot, latest.get().nanos(), latest.get().epochMillis());
+            startCall(slot, latest.get().nanos(), latest.get().epochMillis());
         }
 
-        private void start(Slot slot, long latestNanos, long latestEpochMillis) {
+        private void startCall(Slot slot, long latestNanos, long latestEpochMillis) {
             slot.started = true;
             long latest = Math.min(latestNanos, slot.request.waiting().deadlineNanos());
             long latestEpoch = Math.min(latestEpochMillis, slot.request.latestEpochMillis());
-            out.add(new GateAction.Start(slot.request.id(), latest, latestEpoch));
+            actions.add(new GateAction.StartCall(slot.request.id(), latest, latestEpoch));
         }
 
         private void drain() {
@@ -284,12 +290,12 @@
             }));
         }
 
-        private void tick() {
+        private void expireAttempts() {
             queue.ifPresent(q -> q.expire(nowNanos).forEach(w -> {
                 waiting.remove(w.id());
                 refuse(w.id(), Reason.DEADLINE, Duration.ZERO);
             }));
-            claim(new ClaimEvent.Tick());
+            handleClaimEvent(new ClaimEvent.Tick());
         }
 
         private void fillSlots() {
@@ -298,22 +304,25 @@
                 if (next.isEmpty()) {
                     return;
                 }
-                begin(waiting.remove(next.get().id()));
+                occupySlot(waiting.remove(next.get().id()));
             }
         }
 
-        /** Lower classes leave slots free, so that a live request need not wait for one of theirs to end. */
+        /**
+         * Takes the next request to start. Lower classes leave slots free, so that a live request does not have to wait
+         * until a call of a lower class ends.
+         */
         private Optional<Waiting> takeNext() {
-            int live = liveRunning();
-            int lower = slots.size() - live;
+            int liveInUse = liveSlotsInUse();
+            int lowerSlotsInUse = slots.size() - liveInUse;
             SidecarQueue q = queue.orElseThrow();
-            if (lower >= maxSlots() - file.orElseThrow().limits().liveSlots()) {
+            if (lowerSlotsInUse >= maxSlots() - file.orElseThrow().limits().liveSlots()) {
                 return q.takeLive();
             }
-            return lower < maxSlots() - liveDemand.reserve() ? q.take() : q.takeLiveOrDue();
+            return lowerSlotsInUse < maxSlots() - liveDemand.reservedSlots() ? q.take() : q.takeLiveOrDue();
         }
 
-        private void begin(GateRequest r) {
+        private void occupySlot(GateRequest r) {
             if (nowNanos >= r.waiting().deadlineNanos()) {
                 refuse(r.id(), Reason.DEADLINE, Duration.ZERO);
                 return;
@@ -321,22 +330,22 @@
             Slot slot = new Slot(r, nowNanos);
             slots.put(r.id(), slot);
             if (r.needsClaim()) {
-                claim(new ClaimEvent.Ask(
+                handleClaimEvent(new ClaimEvent.Ask(
                         r.id(), r.key().orElseThrow(), r.waiting().deadlineNanos()));
                 return;
             }
-            start(slot, Long.MAX_VALUE, Long.MAX_VALUE);
+            startCall(slot, Long.MAX_VALUE, Long.MAX_VALUE);
         }
 
         private void reportDrained() {
             if (draining && slots.isEmpty() && !drainedReported) {
                 drainedReported = true;
-                out.add(new GateAction.Drained());
+                actions.add(new GateAction.DrainCompleted());
             }
         }
 
         private void refuse(long id, Reason reason, Duration retryAfter) {
-            out.add(new GateAction.End(id, new Verdict.NotRun(reason, retryAfter), 0));
+            actions.add(new GateAction.EndAttempt(id, new Verdict.NotRun(reason, retryAfter), 0));
         }
     }
 }
--- a/core/src/test/java/org/citrontide/core/faults/FakeSidecar.java
+++ b/core/src/test/java/org/citrontide/core/faults/FakeSidecar.java
@@ -52,7 +52,7 @@
         open.clear();
         sequences.clear();
         gate = new SidecarGate(1000L * id.port() + starts);
-        step(new GateEvent.Configured(world.service));
+        step(new GateEvent.ConfigurationChanged(world.service));
     }
 
     /** Runs on this process's thread, if this start of it still lives, once it is not frozen. */
@@ -83,21 +83,21 @@
             open.put(number, new Open(entry, entryStart, attempt, ask, resume));
             Waiting w = new Waiting(number, ask.urgency(), ask.team(), 1, world.loop.now() + remainingNanos);
             Optional<KeyHash> key = ask.key().map(k -> KeyHash.of("booking", ask.team(), k));
-            step(new GateEvent.Arrived(new GateRequest(w, ask.repeatable(), key, deadlineEpoch)));
+            step(new GateEvent.AttemptArrived(new GateRequest(w, ask.repeatable(), key, deadlineEpoch)));
         });
     }
 
     void cancel(FakeEntry entry, long attempt) {
         inProcess(() -> List.copyOf(open.entrySet()).stream()
                 .filter(e -> e.getValue().entry() == entry && e.getValue().attempt() == attempt)
-                .forEach(e -> step(new GateEvent.Cancelled(e.getKey()))));
+                .forEach(e -> step(new GateEvent.AttemptCancelled(e.getKey()))));
     }
 
     void linkLost(FakeEntry entry) {
         inProcess(() -> sequences.remove(entry));
         inProcess(() -> List.copyOf(open.entrySet()).stream()
                 .filter(e -> e.getValue().entry() == entry)
-                .forEach(e -> step(new GateEvent.Cancelled(e.getKey()))));
+                .forEach(e -> step(new GateEvent.AttemptCancelled(e.getKey()))));
     }
 
     void tick() {
@@ -105,7 +105,7 @@
     }
 
     void drain() {
-        inProcess(() -> step(new GateEvent.Drain()));
+        inProcess(() -> step(new GateEvent.DrainRequested()));
     }
 
     void report(FakeEntry entry) {
@@ -114,7 +114,7 @@
 
     private void step(GateEvent event) {
         int start = starts;
-        for (GateAction a : gate.on(event, world.loop.now(), world.loop.epochMillis())) {
+        for (GateAction a : gate.handle(event, world.loop.now(), world.loop.epochMillis())) {
             if (start == starts) {
                 perform(a);
             }
@@ -124,17 +124,17 @@
     private void perform(GateAction action) {
         int start = starts;
         switch (action) {
-            case GateAction.Start s -> world.at(Step.CALL_LEAVING, this, entryOf(s.id()), () -> leave(s, start));
-            case GateAction.Abort a -> aborted.add(a.id());
-            case GateAction.ClaimCall c -> claimCall(c.call());
-            case GateAction.Replay r -> replay(r);
-            case GateAction.End e -> {
+            case GateAction.StartCall s -> world.at(Step.CALL_LEAVING, this, entryOf(s.id()), () -> leave(s, start));
+            case GateAction.AbortCall a -> aborted.add(a.id());
+            case GateAction.CallClaimStore c -> claimCall(c.call());
+            case GateAction.ReplayAnswer r -> replay(r);
+            case GateAction.EndAttempt e -> {
                 Open o = open.remove(e.id());
                 if (o != null) {
                     answer(Step.ANSWER_END, o, new DispatchEvent.AttemptEnded(o.attempt(), e.verdict(), e.length()));
                 }
             }
-            case GateAction.Drained d -> {
+            case GateAction.DrainCompleted d -> {
                 // Only the shell waits for this.
             }
         }
@@ -145,7 +145,7 @@
     }
 
     /** The last check of both clocks happens when the process's thread gets to it, however late. */
-    private void leave(GateAction.Start s, int start) {
+    private void leave(GateAction.StartCall s, int start) {
         inProcess(() -> {
             if (start != starts) {
                 return;
@@ -153,7 +153,7 @@
             boolean inTime = world.loop.now() < s.latestNanos() && world.loop.epochMillis() < s.latestEpochMillis();
             Open o = open.get(s.id());
             if (!inTime) {
-                step(new GateEvent.Ended(s.id(), new CallOutcome.NeverSent(Reason.DEADLINE)));
+                step(new GateEvent.CallEnded(s.id(), new CallOutcome.NeverSent(Reason.DEADLINE)));
                 return;
             }
             world.ran(o.ask());
@@ -171,7 +171,7 @@
 
     private void finishCall(long number, Open o) {
         if (aborted.remove(number) || upstreamBreaks-- > 0) {
-            step(new GateEvent.Ended(number, new CallOutcome.Lost(Reason.CONNECTION_LOST)));
+            step(new GateEvent.CallEnded(number, new CallOutcome.AnswerLost(Reason.CONNECTION_LOST)));
             return;
         }
         String type = o.ask().streamed() ? "text/event-stream" : "text/plain";
@@ -186,10 +186,10 @@
             whole.append(c);
         }
         StoredAnswer kept = new StoredAnswer(200, type, whole.toString().getBytes(StandardCharsets.UTF_8));
-        step(new GateEvent.Ended(number, new CallOutcome.Answered(200, offset, Optional.of(kept))));
+        step(new GateEvent.CallEnded(number, new CallOutcome.Answered(200, offset, Optional.of(kept))));
     }
 
-    private void replay(GateAction.Replay r) {
+    private void replay(GateAction.ReplayAnswer r) {
         Open o = open.remove(r.id());
         StoredAnswer a = r.answer();
         answer(Step.ANSWER_HEAD, o, new DispatchEvent.AnswerHead(o.attempt(), a.status(), a.contentType()));
@@ -237,7 +237,7 @@
     private void reply(int start, boolean[] answered, ClaimEvent event) {
         if (start == starts && !answered[0]) {
             answered[0] = true;
-            step(new GateEvent.ClaimAnswered(event));
+            step(new GateEvent.ClaimReplyReceived(event));
         }
     }
 }
--- a/core/src/test/java/org/citrontide/core/faults/PolicyWorld.java
+++ b/core/src/test/java/org/citrontide/core/faults/PolicyWorld.java
@@ -97,7 +97,7 @@
         for (int i = 0; i < UPSTREAMS; i++) {
             list.add(new ListedVm("vm" + i, "z", "roster", id(i), false));
             gates.add(new SidecarGate(i));
-            gates.get(i).on(new GateEvent.Configured(c.services().get("roster")), 0, 0);
+            gates.get(i).handle(new GateEvent.ConfigurationChanged(c.services().get("roster")), 0, 0);
         }
         for (int e = 0; e < 2; e++) {
             Dispatcher d =
@@ -195,22 +195,23 @@
         GateRequest r = new GateRequest(w, true, Optional.empty(), Long.MAX_VALUE / 2);
         atGate.put(number, r);
         numbers.put(e + "-" + s.attempt(), s.request());
-        gate(s.upstream().port(), new GateEvent.Arrived(r));
+        gate(s.upstream().port(), new GateEvent.AttemptArrived(r));
     }
 
     private void gate(int i, GateEvent event) {
-        for (GateAction a : gates.get(i).on(event, loop.now(), loop.epochMillis())) {
+        for (GateAction a : gates.get(i).handle(event, loop.now(), loop.epochMillis())) {
             switch (a) {
-                case GateAction.Start s -> {
+                case GateAction.StartCall s -> {
                     int cost = atGate.get(s.id()).waiting().cost();
                     long nanos = (long) (cost * (0.5 + loop.random.nextDouble()) * EventLoop.MILLI);
                     loop.after(
                             nanos,
                             () -> gate(
                                     i,
-                                    new GateEvent.Ended(s.id(), new CallOutcome.Answered(200, 0, Optional.empty()))));
+                                    new GateEvent.CallEnded(
+                                            s.id(), new CallOutcome.Answered(200, 0, Optional.empty()))));
                 }
-                case GateAction.End end -> {
+                case GateAction.EndAttempt end -> {
                     long attempt = attemptOf.remove(end.id());
                     int e = entryOf.remove(end.id());
                     GateRequest r = atGate.remove(end.id());
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
@@ -110,7 +110,7 @@
      */
     public void configured(Configuration c) {
         Optional.ofNullable(c.services().get(service))
-                .ifPresent(f -> duty.put(new SidecarEvent.ForGate(new GateEvent.Configured(f))));
+                .ifPresent(f -> duty.put(new SidecarEvent.ForGate(new GateEvent.ConfigurationChanged(f))));
     }
 
     /**
@@ -120,7 +120,7 @@
      * @return false if something still ran at the end
      */
     public boolean drain(Duration limit) {
-        duty.put(new SidecarEvent.ForGate(new GateEvent.Drain()));
+        duty.put(new SidecarEvent.ForGate(new GateEvent.DrainRequested()));
         try {
             return drained.await(limit.toMillis(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
@@ -186,10 +186,10 @@
                 : Optional.of(KeyHash.of(service, a.getTeam(), a.getIdempotencyKey()));
         Waiting w = new Waiting(number, urgency, a.getTeam(), Math.max(1, a.getCost()), deadline);
         if (!a.getService().equals(service)) {
-            perform(new GateAction.End(number, new Verdict.NotRun(Reason.UNKNOWN_SERVICE, Duration.ZERO), 0));
+            perform(new GateAction.EndAttempt(number, new Verdict.NotRun(Reason.UNKNOWN_SERVICE, Duration.ZERO), 0));
             return;
         }
-        step(new GateEvent.Arrived(new GateRequest(w, a.getRepeatable(), hash, a.getDeadlineEpochMs())));
+        step(new GateEvent.AttemptArrived(new GateRequest(w, a.getRepeatable(), hash, a.getDeadlineEpochMs())));
     }
 
     private void linkChanged(Link link, boolean up) {
@@ -204,28 +204,28 @@
                 .filter(e -> e.getValue().link().id() == link.id())
                 .map(Map.Entry::getKey)
                 .toList();
-        orphans.forEach(n -> step(new GateEvent.Cancelled(n)));
+        orphans.forEach(n -> step(new GateEvent.AttemptCancelled(n)));
     }
 
     private void step(GateEvent event) {
-        gate.on(event, clock.nanos(), clock.epochMillis()).forEach(this::perform);
+        gate.handle(event, clock.nanos(), clock.epochMillis()).forEach(this::perform);
     }
 
     private void perform(GateAction action) {
         switch (action) {
-            case GateAction.Start s -> startCall(s);
-            case GateAction.Abort a ->
+            case GateAction.StartCall s -> startCall(s);
+            case GateAction.AbortCall a ->
                 Optional.ofNullable(open.get(a.id()))
                         .map(o -> calls.get(o.key()))
                         .ifPresent(UpstreamCall::abort);
-            case GateAction.End e -> end(e.id(), e.verdict(), e.length());
-            case GateAction.Replay r -> replay(r);
-            case GateAction.ClaimCall c -> claimCall(c.call());
-            case GateAction.Drained d -> drained.countDown();
+            case GateAction.EndAttempt e -> end(e.id(), e.verdict(), e.length());
+            case GateAction.ReplayAnswer r -> replay(r);
+            case GateAction.CallClaimStore c -> claimCall(c.call());
+            case GateAction.DrainCompleted d -> drained.countDown();
         }
     }
 
-    private void startCall(GateAction.Start s) {
+    private void startCall(GateAction.StartCall s) {
         Open o = open.get(s.id());
         boolean keep =
                 !o.attempt().getRepeatable() && !o.attempt().getIdempotencyKey().isEmpty();
@@ -240,17 +240,18 @@
         switch (call) {
             case ClaimAction.Read r -> {
                 metrics.storeCall("read");
-                claims.read(r).thenAccept(e -> duty.put(new SidecarEvent.ForGate(new GateEvent.ClaimAnswered(e))));
+                claims.read(r).thenAccept(e -> duty.put(new SidecarEvent.ForGate(new GateEvent.ClaimReplyReceived(e))));
             }
             case ClaimAction.Write w -> {
                 metrics.storeCall("write");
-                claims.write(w).thenAccept(e -> duty.put(new SidecarEvent.ForGate(new GateEvent.ClaimAnswered(e))));
+                claims.write(w)
+                        .thenAccept(e -> duty.put(new SidecarEvent.ForGate(new GateEvent.ClaimReplyReceived(e))));
             }
             default -> throw new IllegalStateException("not a call to the store: " + call);
         }
     }
 
-    private void replay(GateAction.Replay r) {
+    private void replay(GateAction.ReplayAnswer r) {
         Open o = open.get(r.id());
         StoredAnswer a = r.answer();
         Forwarder f = new Forwarder(r.id(), o);
@@ -355,7 +356,7 @@
 
         @Override
         public void ended(CallOutcome outcome) {
-            duty.put(new SidecarEvent.ForGate(new GateEvent.Ended(number, outcome)));
+            duty.put(new SidecarEvent.ForGate(new GateEvent.CallEnded(number, outcome)));
         }
     }
 
@@ -366,7 +367,7 @@
                 case SidecarEvent.AttemptReceived a -> arrived(a.link(), a.attempt(), clock.nanos());
                 case SidecarEvent.CancelReceived c ->
                     Optional.ofNullable(numbers.get(new AttemptKey(c.link(), c.attempt())))
-                            .ifPresent(n -> step(new GateEvent.Cancelled(n)));
+                            .ifPresent(n -> step(new GateEvent.AttemptCancelled(n)));
                 case SidecarEvent.LinkChanged l -> linkChanged(l.link(), l.up());
                 case SidecarEvent.ForGate g -> step(g.event());
             }
--- a/sidecar/src/main/java/org/citrontide/sidecar/upstream/UpstreamCall.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/upstream/UpstreamCall.java
@@ -159,7 +159,7 @@
                     : Optional.empty();
             listener.ended(new CallOutcome.Answered(status, length, answer));
         } else if (begun.get()) {
-            listener.ended(new CallOutcome.Lost(status == 0 ? Reason.CONNECTION_LOST : Reason.ANSWER_BROKEN));
+            listener.ended(new CallOutcome.AnswerLost(status == 0 ? Reason.CONNECTION_LOST : Reason.ANSWER_BROKEN));
         } else if (result.getFailure() instanceof StartTooLateException) {
             listener.ended(new CallOutcome.NeverSent(Reason.DEADLINE));
         } else {
