--- a/core/src/main/java/org/citrontide/core/gate/GateRequest.java
+++ b/core/src/main/java/org/citrontide/core/gate/GateRequest.java
@@ -4,7 +4,7 @@
 
 import org.citrontide.core.claim.ClaimLedger;
 import org.citrontide.core.claim.KeyHash;
-import org.citrontide.core.queue.Waiting;
+import org.citrontide.core.queue.QueuedRequest;
 
 /**
  * The request of one attempt at the gate of an upstream. Immutable.
@@ -15,7 +15,7 @@
  * @param deadlineEpochMillis deadline by the entry's wall clock, in ms since 1970. It detects attempts that were left
  *     unread while this process was suspended; the monotonic deadline cannot, since it is computed at the time of reading
  */
-public record GateRequest(Waiting waiting, boolean repeatable, Optional<KeyHash> key, long deadlineEpochMillis) {
+public record GateRequest(QueuedRequest waiting, boolean repeatable, Optional<KeyHash> key, long deadlineEpochMillis) {
 
     /**
      * Returns the identifier of the attempt.
--- a/core/src/main/java/org/citrontide/core/gate/SidecarGate.java
+++ b/core/src/main/java/org/citrontide/core/gate/SidecarGate.java
@@ -14,8 +14,8 @@
 import org.citrontide.core.publication.ServiceFile;
 import org.citrontide.core.publication.Urgency;
 import org.citrontide.core.queue.QueueShares;
+import org.citrontide.core.queue.QueuedRequest;
 import org.citrontide.core.queue.SidecarQueue;
-import org.citrontide.core.queue.Waiting;
 import org.citrontide.core.verdict.Reason;
 import org.citrontide.core.verdict.Verdict;
 
@@ -300,7 +300,7 @@
 
         private void fillSlots() {
             while (queue.isPresent() && slots.size() < maxSlots()) {
-                Optional<Waiting> next = takeNext();
+                Optional<QueuedRequest> next = takeNext();
                 if (next.isEmpty()) {
                     return;
                 }
@@ -312,14 +312,14 @@
          * Takes the next request to start. Lower classes leave slots free, so that a live request does not have to wait
          * until a call of a lower class ends.
          */
-        private Optional<Waiting> takeNext() {
+        private Optional<QueuedRequest> takeNext() {
             int liveInUse = liveSlotsInUse();
             int lowerSlotsInUse = slots.size() - liveInUse;
             SidecarQueue q = queue.orElseThrow();
             if (lowerSlotsInUse >= maxSlots() - file.orElseThrow().limits().liveSlots()) {
                 return q.takeLive();
             }
-            return lowerSlotsInUse < maxSlots() - liveDemand.reservedSlots() ? q.take() : q.takeLiveOrDue();
+            return lowerSlotsInUse < maxSlots() - liveDemand.reservedSlots() ? q.take() : q.takeLiveOrGuaranteed();
         }
 
         private void occupySlot(GateRequest r) {
--- a/core/src/main/java/org/citrontide/core/queue/ClassQueue.java
+++ b/core/src/main/java/org/citrontide/core/queue/ClassQueue.java
@@ -9,8 +9,8 @@
 /**
  * The waiting requests of one urgency class, shared among teams by start-time fair queueing.
  *
- * <p>Invariants: a team stands in both orders exactly while it has waiting requests; its start tag never falls, so a
- * team that was idle gains no credit for it. Idle teams are forgotten. Not thread-safe.
+ * <p>Invariants: a team is in both orders exactly while it has waiting requests; its start tag never decreases, so a
+ * team gains no credit from idle time. Idle teams are removed. Not thread-safe.
  */
 final class ClassQueue {
     /** Number of waiting requests. */
@@ -26,49 +26,49 @@
             Comparator.comparingDouble((TeamQueue t) -> t.weightedCost).thenComparing(t -> t.name));
     private double virtualTime;
 
-    void add(Waiting w, QueueShares shares) {
-        TeamQueue t = teams.computeIfAbsent(w.team(), n -> new TeamQueue(n, virtualTime));
-        leaveOrders(t);
-        if (t.waiting.isEmpty()) {
-            t.startTag = Math.max(t.startTag, virtualTime);
+    void add(QueuedRequest request, QueueShares shares) {
+        TeamQueue team = teams.computeIfAbsent(request.team(), n -> new TeamQueue(n, virtualTime));
+        removeFromOrders(team);
+        if (team.waiting.isEmpty()) {
+            team.startTag = Math.max(team.startTag, virtualTime);
         }
-        t.waiting.put(w.id(), w);
-        t.cost += w.cost();
-        enterOrders(t, shares);
+        team.waiting.put(request.id(), request);
+        team.cost += request.cost();
+        addToOrders(team, shares);
         size++;
     }
 
-    Waiting serveNext(QueueShares shares) {
-        TeamQueue t = byStart.first();
-        virtualTime = Math.max(virtualTime, t.startTag);
-        Waiting w = t.waiting.firstEntry().getValue();
-        leaveOrders(t);
-        t.startTag += (double) w.cost() / shares.weight(t.name);
-        take(t, w, shares);
-        return w;
+    QueuedRequest serveNext(QueueShares shares) {
+        TeamQueue team = byStart.first();
+        virtualTime = Math.max(virtualTime, team.startTag);
+        QueuedRequest request = team.waiting.firstEntry().getValue();
+        removeFromOrders(team);
+        team.startTag += (double) request.cost() / shares.weight(team.name);
+        removeRequest(team, request, shares);
+        return request;
     }
 
-    void remove(Waiting w, QueueShares shares) {
-        TeamQueue t = teams.get(w.team());
-        leaveOrders(t);
-        take(t, w, shares);
+    void remove(QueuedRequest request, QueueShares shares) {
+        TeamQueue team = teams.get(request.team());
+        removeFromOrders(team);
+        removeRequest(team, request, shares);
     }
 
     int nextCost() {
         return byStart.first().waiting.firstEntry().getValue().cost();
     }
 
-    Waiting newestOfHeaviestTeam() {
+    QueuedRequest newestOfHeaviestTeam() {
         return byWeightedCost.last().waiting.lastEntry().getValue();
     }
 
-    private void take(TeamQueue t, Waiting w, QueueShares shares) {
-        t.waiting.remove(w.id());
-        t.cost -= w.cost();
+    private void removeRequest(TeamQueue team, QueuedRequest request, QueueShares shares) {
+        team.waiting.remove(request.id());
+        team.cost -= request.cost();
         size--;
-        enterOrders(t, shares);
-        if (t.waiting.isEmpty() && t.startTag <= virtualTime) {
-            teams.remove(t.name);
+        addToOrders(team, shares);
+        if (team.waiting.isEmpty() && team.startTag <= virtualTime) {
+            teams.remove(team.name);
         }
         if (size == 0) {
             teams.clear();
@@ -76,22 +76,22 @@
         }
     }
 
-    private void leaveOrders(TeamQueue t) {
-        byStart.remove(t);
-        byWeightedCost.remove(t);
+    private void removeFromOrders(TeamQueue team) {
+        byStart.remove(team);
+        byWeightedCost.remove(team);
     }
 
-    private void enterOrders(TeamQueue t, QueueShares shares) {
-        t.weightedCost = (double) t.cost / shares.weight(t.name);
-        if (!t.waiting.isEmpty()) {
-            byStart.add(t);
-            byWeightedCost.add(t);
+    private void addToOrders(TeamQueue team, QueueShares shares) {
+        team.weightedCost = (double) team.cost / shares.weight(team.name);
+        if (!team.waiting.isEmpty()) {
+            byStart.add(team);
+            byWeightedCost.add(team);
         }
     }
 
     private static final class TeamQueue {
         private final String name;
-        private final LinkedHashMap<Long, Waiting> waiting = new LinkedHashMap<>();
+        private final LinkedHashMap<Long, QueuedRequest> waiting = new LinkedHashMap<>();
         private double startTag;
         private double weightedCost;
         private long cost;
--- a/core/src/main/java/org/citrontide/core/queue/QueueShares.java
+++ b/core/src/main/java/org/citrontide/core/queue/QueueShares.java
@@ -8,25 +8,26 @@
 import org.citrontide.core.publication.Urgency;
 
 /**
- * The bounds and shares of one sidecar's queue. Immutable.
+ * The capacity and the guaranteed shares of a sidecar's queue. Immutable.
  *
- * @param capacity most requests that wait
- * @param guaranteedPercent share of the upstream that each class keeps during floods of others, in percent
- * @param teamWeights weights of teams other than 1
+ * @param capacity maximum number of waiting requests
+ * @param guaranteedPercent share of the upstream that each class keeps while other classes overload it, in
+ *     percent
+ * @param teamWeights weights of the teams whose weight is not 1
  */
 public record QueueShares(int capacity, Map<Urgency, Integer> guaranteedPercent, Map<String, Integer> teamWeights) {
 
-    /** Copies the maps. */
+    /** Makes defensive copies of the maps. */
     public QueueShares {
         guaranteedPercent = Map.copyOf(guaranteedPercent);
         teamWeights = Map.copyOf(teamWeights);
     }
 
     /**
-     * Takes the shares from a service's file.
+     * Creates the shares that the configuration file of a service defines.
      *
-     * @param file the service's file
-     * @return its queue bounds
+     * @param file configuration file of the service
+     * @return capacity and shares of its queue
      */
     public static QueueShares of(ServiceFile file) {
         Map<Urgency, Integer> percent = new EnumMap<>(Urgency.class);
@@ -44,7 +45,7 @@
         return guaranteedPercent.getOrDefault(urgency, 0);
     }
 
-    int reservedPlaces(Urgency urgency) {
+    int reservedCapacity(Urgency urgency) {
         return capacity * percent(urgency) / 100;
     }
 }
--- a/core/src/main/java/org/citrontide/core/queue/SidecarQueue.java
+++ b/core/src/main/java/org/citrontide/core/queue/SidecarQueue.java
@@ -12,36 +12,36 @@
 import org.citrontide.core.publication.Urgency;
 
 /**
- * The bounded queue in front of one upstream.
+ * A bounded queue of the requests for one upstream, with urgency classes and fair shares among teams.
  *
  * <p>Invariants:
  *
  * <ul>
  *   <li>At most {@link QueueShares#capacity()} requests wait.
- *   <li>Among classes with waiting work, the most urgent goes first, except that every class with a guaranteed share
- *       gets at least that share of the cost served while it has work.
+ *   <li>Among classes with waiting requests, the most urgent is served first, except that every class with a guaranteed
+ *       share gets at least that share of the cost served while it has waiting requests.
  *   <li>Within a class, teams share the cost served in proportion to their weights (start-time fair queueing).
- *   <li>A full queue evicts from the least urgent class that holds more than its reserved places, the newest request of
- *       the team with the most waiting cost for its weight. The evicted request never ran.
+ *   <li>A full queue evicts from the least urgent class that exceeds its reserved capacity, choosing the newest request
+ *       of the team with the highest waiting cost relative to its weight. The evicted request has not run.
  * </ul>
  *
- * <p>Every operation takes time logarithmic in the number of teams and waiting requests. Not thread-safe: one thread
- * owns it.
+ * <p>Every operation on one request takes time logarithmic in the number of teams and waiting requests. Not thread-safe:
+ * confined to one thread.
  */
 public final class SidecarQueue {
     private static final int FULL_PERCENT = 100;
 
     private final Map<Urgency, ClassQueue> classes = new EnumMap<>(Urgency.class);
-    private final Map<Long, Waiting> byId = new HashMap<>();
-    private final TreeSet<Waiting> byDeadline =
-            new TreeSet<>(Comparator.comparingLong(Waiting::deadlineNanos).thenComparingLong(Waiting::id));
+    private final Map<Long, QueuedRequest> byId = new HashMap<>();
+    private final TreeSet<QueuedRequest> byDeadline =
+            new TreeSet<>(Comparator.comparingLong(QueuedRequest::deadlineNanos).thenComparingLong(QueuedRequest::id));
     private QueueShares shares;
     private long waitingCost;
 
     /**
-     * Makes an empty queue.
+     * Creates an empty queue.
      *
-     * @param shares its bounds and shares
+     * @param shares capacity and shares of the queue
      */
     public SidecarQueue(QueueShares shares) {
         this.shares = shares;
@@ -51,80 +51,80 @@
     }
 
     /**
-     * Takes new bounds and shares. Waiting requests stay, also above a smaller capacity.
+     * Sets the capacity and shares. Waiting requests are kept even if they exceed a smaller capacity.
      *
-     * @param newShares the new bounds and shares
+     * @param newShares the new capacity and shares
      */
     public void configure(QueueShares newShares) {
         shares = newShares;
     }
 
     /**
-     * Adds a request.
+     * Adds a request, and evicts a request if the queue is full.
      *
-     * @param w the request
-     * @return the request that gave way, which may be the new one, or empty if there was room
-     * @throws IllegalArgumentException if the identifier already waits
+     * @param request the request to add
+     * @return the evicted request, which may be the new one, or empty if there was capacity
+     * @throws IllegalArgumentException if a request with the same identifier is already queued
      */
-    public Optional<Waiting> offer(Waiting w) {
-        if (byId.containsKey(w.id())) {
-            throw new IllegalArgumentException("request " + w.id() + " already waits");
+    public Optional<QueuedRequest> offer(QueuedRequest request) {
+        if (byId.containsKey(request.id())) {
+            throw new IllegalArgumentException("request " + request.id() + " is already queued");
         }
-        insert(w);
+        addRequest(request);
         if (byId.size() <= shares.capacity()) {
             return Optional.empty();
         }
-        Waiting victim = classes.get(classToEvictFrom()).newestOfHeaviestTeam();
-        remove(victim.id());
-        return Optional.of(victim);
+        QueuedRequest evicted = classes.get(classToEvictFrom()).newestOfHeaviestTeam();
+        remove(evicted.id());
+        return Optional.of(evicted);
     }
 
     /**
-     * Takes the request that runs next.
+     * Removes and returns the next request to run.
      *
      * @return the request, or empty if none waits
      */
-    public Optional<Waiting> take() {
+    public Optional<QueuedRequest> take() {
         return byId.isEmpty() ? Optional.empty() : serve(classToServe());
     }
 
     /**
-     * Takes the request that runs next, while lower classes may start only what their guaranteed share is due.
+     * Removes and returns the next request to run, limiting classes below live to their guaranteed shares.
      *
-     * @return the request, or empty if none of these waits
+     * @return the request, or empty if none may start
      */
-    public Optional<Waiting> takeLiveOrDue() {
+    public Optional<QueuedRequest> takeLiveOrGuaranteed() {
         if (byId.isEmpty()) {
             return Optional.empty();
         }
         Urgency u = classToServe();
-        boolean allowed = u == Urgency.LIVE || isDue(classes.get(u));
+        boolean allowed = u == Urgency.LIVE || isGuaranteeDue(classes.get(u));
         return allowed ? serve(u) : Optional.empty();
     }
 
     /**
-     * Takes the live request that runs next, while lower classes must not start.
+     * Removes and returns the next live request to run.
      *
-     * @return the request, or empty if no live one waits
+     * @return the request, or empty if no live request waits
      */
-    public Optional<Waiting> takeLive() {
+    public Optional<QueuedRequest> takeLive() {
         return size(Urgency.LIVE) == 0 ? Optional.empty() : serve(Urgency.LIVE);
     }
 
     /**
-     * Removes a request that is no longer wanted.
+     * Removes a request.
      *
      * @param id identifier of the request
-     * @return the request, or empty if it does not wait
+     * @return the removed request, or empty if no such request waits
      */
-    public Optional<Waiting> remove(long id) {
-        Waiting w = byId.get(id);
-        if (w == null) {
+    public Optional<QueuedRequest> remove(long id) {
+        QueuedRequest request = byId.get(id);
+        if (request == null) {
             return Optional.empty();
         }
-        classes.get(w.urgency()).remove(w, shares);
-        forget(w);
-        return Optional.of(w);
+        classes.get(request.urgency()).remove(request, shares);
+        removeFromIndexes(request);
+        return Optional.of(request);
     }
 
     /**
@@ -133,12 +133,12 @@
      * @param nowNanos monotonic time in ns
      * @return the removed requests
      */
-    public List<Waiting> expire(long nowNanos) {
-        List<Waiting> expired = new ArrayList<>();
+    public List<QueuedRequest> expire(long nowNanos) {
+        List<QueuedRequest> expired = new ArrayList<>();
         while (!byDeadline.isEmpty() && byDeadline.first().deadlineNanos() <= nowNanos) {
-            Waiting w = byDeadline.first();
-            remove(w.id());
-            expired.add(w);
+            QueuedRequest request = byDeadline.first();
+            remove(request.id());
+            expired.add(request);
         }
         return expired;
     }
@@ -148,8 +148,8 @@
      *
      * @return the removed requests
      */
-    public List<Waiting> drain() {
-        List<Waiting> all = new ArrayList<>(byDeadline);
+    public List<QueuedRequest> drain() {
+        List<QueuedRequest> all = new ArrayList<>(byDeadline);
         all.forEach(w -> remove(w.id()));
         return all;
     }
@@ -157,7 +157,7 @@
     /**
      * Returns the number of waiting requests.
      *
-     * @return count
+     * @return number of requests
      */
     public int size() {
         return byId.size();
@@ -166,11 +166,11 @@
     /**
      * Returns the number of waiting requests of a class.
      *
-     * @param u the class
-     * @return count
+     * @param urgency the urgency class
+     * @return number of requests
      */
-    public int size(Urgency u) {
-        return classes.get(u).size;
+    public int size(Urgency urgency) {
+        return classes.get(urgency).size;
     }
 
     /**
@@ -193,37 +193,37 @@
                 : Optional.of(byDeadline.first().deadlineNanos());
     }
 
-    private Optional<Waiting> serve(Urgency u) {
-        Waiting w = classes.get(u).serveNext(shares);
-        forget(w);
-        chargeGuarantees(u, w.cost());
-        return Optional.of(w);
+    private Optional<QueuedRequest> serve(Urgency u) {
+        QueuedRequest request = classes.get(u).serveNext(shares);
+        removeFromIndexes(request);
+        chargeGuarantees(u, request.cost());
+        return Optional.of(request);
     }
 
-    private void insert(Waiting w) {
-        classes.get(w.urgency()).add(w, shares);
-        byId.put(w.id(), w);
-        byDeadline.add(w);
-        waitingCost += w.cost();
+    private void addRequest(QueuedRequest request) {
+        classes.get(request.urgency()).add(request, shares);
+        byId.put(request.id(), request);
+        byDeadline.add(request);
+        waitingCost += request.cost();
     }
 
-    private void forget(Waiting w) {
-        byId.remove(w.id());
-        byDeadline.remove(w);
-        waitingCost -= w.cost();
+    private void removeFromIndexes(QueuedRequest request) {
+        byId.remove(request.id());
+        byDeadline.remove(request);
+        waitingCost -= request.cost();
     }
 
     private Urgency classToEvictFrom() {
         Urgency[] all = Urgency.values();
         for (int i = all.length - 1; i > 0; i--) {
-            if (size(all[i]) > shares.reservedPlaces(all[i])) {
+            if (size(all[i]) > shares.reservedCapacity(all[i])) {
                 return all[i];
             }
         }
-        return size(all[0]) > 0 ? all[0] : leastUrgentWaiting();
+        return size(all[0]) > 0 ? all[0] : leastUrgentNonEmptyClass();
     }
 
-    private Urgency leastUrgentWaiting() {
+    private Urgency leastUrgentNonEmptyClass() {
         Urgency[] all = Urgency.values();
         for (int i = all.length - 1; i > 0; i--) {
             if (size(all[i]) > 0) {
@@ -242,23 +242,23 @@
             }
             if (first == null) {
                 first = u;
-            } else if (isDue(q)) {
+            } else if (isGuaranteeDue(q)) {
                 return u;
             }
         }
         return first;
     }
 
-    private static boolean isDue(ClassQueue q) {
+    private static boolean isGuaranteeDue(ClassQueue q) {
         return q.guaranteeCredit >= (long) q.nextCost() * FULL_PERCENT;
     }
 
-    /** Credit is kept in hundredths of the cost unit, so that percentages stay exact. */
+    /** Updates the guarantee credit of each class, in hundredths of the cost unit so that percentages are exact. */
     private void chargeGuarantees(Urgency served, int cost) {
         for (Urgency u : Urgency.values()) {
             ClassQueue q = classes.get(u);
-            boolean hadWork = q.size > 0 || u == served;
-            if (!hadWork) {
+            boolean hadRequests = q.size > 0 || u == served;
+            if (!hadRequests) {
                 q.guaranteeCredit = 0;
                 continue;
             }
--- a/core/src/test/java/org/citrontide/core/faults/FakeSidecar.java
+++ b/core/src/test/java/org/citrontide/core/faults/FakeSidecar.java
@@ -20,7 +20,7 @@
 import org.citrontide.core.gate.GateRequest;
 import org.citrontide.core.gate.SidecarGate;
 import org.citrontide.core.membership.UpstreamId;
-import org.citrontide.core.queue.Waiting;
+import org.citrontide.core.queue.QueuedRequest;
 import org.citrontide.core.verdict.Reason;
 import org.citrontide.core.verdict.Verdict;
 
@@ -81,7 +81,8 @@
             }
             long number = nextNumber++;
             open.put(number, new Open(entry, entryStart, attempt, ask, resume));
-            Waiting w = new Waiting(number, ask.urgency(), ask.team(), 1, world.loop.now() + remainingNanos);
+            QueuedRequest w =
+                    new QueuedRequest(number, ask.urgency(), ask.team(), 1, world.loop.now() + remainingNanos);
             Optional<KeyHash> key = ask.key().map(k -> KeyHash.of("booking", ask.team(), k));
             step(new GateEvent.AttemptArrived(new GateRequest(w, ask.repeatable(), key, deadlineEpoch)));
         });
--- a/core/src/test/java/org/citrontide/core/faults/PolicyWorld.java
+++ b/core/src/test/java/org/citrontide/core/faults/PolicyWorld.java
@@ -22,7 +22,7 @@
 import org.citrontide.core.membership.UpstreamSubset;
 import org.citrontide.core.publication.Configuration;
 import org.citrontide.core.publication.Urgency;
-import org.citrontide.core.queue.Waiting;
+import org.citrontide.core.queue.QueuedRequest;
 import org.citrontide.core.verdict.Verdict;
 
 /**
@@ -186,7 +186,7 @@
         attemptOf.put(number, s.attempt());
         entryOf.put(number, e);
         Source src = a.source();
-        Waiting w = new Waiting(
+        QueuedRequest w = new QueuedRequest(
                 number,
                 plain ? Urgency.LIVE : src.urgency(),
                 plain ? "all" : src.team(),
--- a/core/src/test/java/org/citrontide/core/queue/SidecarQueueTest.java
+++ b/core/src/test/java/org/citrontide/core/queue/SidecarQueueTest.java
@@ -11,31 +11,31 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Checks order, shares and evictions of the queue. */
+/** Tests service order, fair shares and evictions of the queue. */
 final class SidecarQueueTest {
     private static final Map<Urgency, Integer> PERCENT = Map.of(Urgency.DAILY, 15, Urgency.OVERNIGHT, 5);
 
     private long nextId = 1;
 
     @Test
-    void urgentWorkGoesFirst() {
+    void urgentRequestsAreServedFirst() {
         SidecarQueue q = queue(10);
-        q.offer(waiting(Urgency.OVERNIGHT, "a", 1));
-        q.offer(waiting(Urgency.LIVE, "a", 1));
+        q.offer(queuedRequest(Urgency.OVERNIGHT, "a", 1));
+        q.offer(queuedRequest(Urgency.LIVE, "a", 1));
         assertEquals(Urgency.LIVE, q.take().orElseThrow().urgency());
     }
 
     @Test
-    void lowerClassesKeepTheirGuaranteedShareOfTheCostServed() {
+    void lowerClassesKeepTheirGuaranteedShareOfCostServed() {
         SidecarQueue q = queue(300);
         Map<Urgency, Integer> served = new HashMap<>();
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 20_000; i++) {
             for (Urgency u : Urgency.values()) {
-                q.offer(waiting(u, "a", 1 + random.nextInt(100)));
+                q.offer(queuedRequest(u, "a", 1 + random.nextInt(100)));
             }
-            Waiting w = q.take().orElseThrow();
-            served.merge(w.urgency(), w.cost(), Integer::sum);
+            QueuedRequest request = q.take().orElseThrow();
+            served.merge(request.urgency(), request.cost(), Integer::sum);
         }
         double all = served.values().stream().mapToInt(Integer::intValue).sum();
         assertTrue(served.get(Urgency.DAILY) / all > 0.95 * 0.15, served.toString());
@@ -44,40 +44,40 @@
     }
 
     @Test
-    void teamsShareCostAndNotRequests() {
+    void teamsShareCostRatherThanRequestCount() {
         SidecarQueue q = queue(1000);
         for (int i = 0; i < 400; i++) {
-            q.offer(waiting(Urgency.LIVE, "large", 100));
-            q.offer(waiting(Urgency.LIVE, "small", 10));
+            q.offer(queuedRequest(Urgency.LIVE, "large", 100));
+            q.offer(queuedRequest(Urgency.LIVE, "small", 10));
         }
         Map<String, Integer> cost = new HashMap<>();
         for (int i = 0; i < 220; i++) {
-            Waiting w = q.take().orElseThrow();
-            cost.merge(w.team(), w.cost(), Integer::sum);
+            QueuedRequest request = q.take().orElseThrow();
+            cost.merge(request.team(), request.cost(), Integer::sum);
         }
         assertEquals(1.0, (double) cost.get("large") / cost.get("small"), 0.1);
     }
 
     @Test
-    void fullQueueEvictsTheLeastUrgentWorkOfTheHeaviestTeam() {
+    void fullQueueEvictsLeastUrgentRequestOfHeaviestTeam() {
         SidecarQueue q = queue(4);
-        q.offer(waiting(Urgency.OVERNIGHT, "small", 1));
-        q.offer(waiting(Urgency.OVERNIGHT, "large", 50));
-        Waiting newest = waiting(Urgency.OVERNIGHT, "large", 50);
+        q.offer(queuedRequest(Urgency.OVERNIGHT, "small", 1));
+        q.offer(queuedRequest(Urgency.OVERNIGHT, "large", 50));
+        QueuedRequest newest = queuedRequest(Urgency.OVERNIGHT, "large", 50);
         q.offer(newest);
-        q.offer(waiting(Urgency.LIVE, "small", 1));
-        assertEquals(Optional.of(newest), q.offer(waiting(Urgency.LIVE, "small", 1)));
+        q.offer(queuedRequest(Urgency.LIVE, "small", 1));
+        assertEquals(Optional.of(newest), q.offer(queuedRequest(Urgency.LIVE, "small", 1)));
     }
 
     @Test
-    void urgentFloodLeavesReservedPlacesToLowerClasses() {
+    void liveOverloadLeavesReservedCapacityToLowerClasses() {
         SidecarQueue q = queue(100);
         for (int i = 0; i < 20; i++) {
-            q.offer(waiting(Urgency.DAILY, "a", 1));
-            q.offer(waiting(Urgency.OVERNIGHT, "a", 1));
+            q.offer(queuedRequest(Urgency.DAILY, "a", 1));
+            q.offer(queuedRequest(Urgency.OVERNIGHT, "a", 1));
         }
         for (int i = 0; i < 500; i++) {
-            q.offer(waiting(Urgency.LIVE, "a", 1));
+            q.offer(queuedRequest(Urgency.LIVE, "a", 1));
         }
         assertEquals(15, q.size(Urgency.DAILY));
         assertEquals(5, q.size(Urgency.OVERNIGHT));
@@ -85,17 +85,17 @@
     }
 
     @Test
-    void bookkeepingHoldsUnderRandomUse() {
+    void sizeAndCostMatchModelUnderRandomOperations() {
         SidecarQueue q = queue(20);
         SplittableRandom random = new SplittableRandom(7);
-        Map<Long, Waiting> expected = new HashMap<>();
+        Map<Long, QueuedRequest> expected = new HashMap<>();
         for (int i = 0; i < 50_000; i++) {
             switch (random.nextInt(4)) {
                 case 0, 1 -> {
-                    Waiting w = waiting(
+                    QueuedRequest request = queuedRequest(
                             Urgency.values()[random.nextInt(3)], "t" + random.nextInt(5), 1 + random.nextInt(9));
-                    expected.put(w.id(), w);
-                    q.offer(w).ifPresent(v -> expected.remove(v.id()));
+                    expected.put(request.id(), request);
+                    q.offer(request).ifPresent(v -> expected.remove(v.id()));
                 }
                 case 2 -> q.take().ifPresent(w -> assertEquals(w, expected.remove(w.id())));
                 default -> {
@@ -104,7 +104,8 @@
                 }
             }
             assertEquals(expected.size(), q.size());
-            assertEquals(expected.values().stream().mapToLong(Waiting::cost).sum(), q.waitingCost());
+            assertEquals(
+                    expected.values().stream().mapToLong(QueuedRequest::cost).sum(), q.waitingCost());
         }
     }
 
@@ -112,7 +113,7 @@
         return new SidecarQueue(new QueueShares(capacity, PERCENT, Map.of()));
     }
 
-    private Waiting waiting(Urgency u, String team, int cost) {
-        return new Waiting(nextId++, u, team, cost, Long.MAX_VALUE);
+    private QueuedRequest queuedRequest(Urgency u, String team, int cost) {
+        return new QueuedRequest(nextId++, u, team, cost, Long.MAX_VALUE);
     }
 }
--- a/dist/src/test/java/org/citrontide/dist/SlopeBench.java
+++ b/dist/src/test/java/org/citrontide/dist/SlopeBench.java
@@ -31,8 +31,8 @@
 import org.citrontide.core.publication.Head;
 import org.citrontide.core.publication.Urgency;
 import org.citrontide.core.queue.QueueShares;
+import org.citrontide.core.queue.QueuedRequest;
 import org.citrontide.core.queue.SidecarQueue;
-import org.citrontide.core.queue.Waiting;
 import org.citrontide.core.verdict.Verdict;
 import org.citrontide.wire.codec.ClaimCodec;
 import org.citrontide.wire.codec.ConfigurationCodec;
@@ -157,8 +157,8 @@
         return q;
     }
 
-    private static Waiting waiting(int i) {
-        return new Waiting(i, Urgency.ofOrdinal(i % 3), "team" + i % 250, 1 + i % 500, Long.MAX_VALUE - i);
+    private static QueuedRequest waiting(int i) {
+        return new QueuedRequest(i, Urgency.ofOrdinal(i % 3), "team" + i % 250, 1 + i % 500, Long.MAX_VALUE - i);
     }
 
     private static void admission() {
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
@@ -22,7 +22,7 @@
 import org.citrontide.core.membership.SidecarReport;
 import org.citrontide.core.publication.Configuration;
 import org.citrontide.core.publication.Urgency;
-import org.citrontide.core.queue.Waiting;
+import org.citrontide.core.queue.QueuedRequest;
 import org.citrontide.core.verdict.Reason;
 import org.citrontide.core.verdict.Verdict;
 import org.citrontide.runtime.duty.Clock;
@@ -184,7 +184,7 @@
         Optional<KeyHash> hash = a.getIdempotencyKey().isEmpty()
                 ? Optional.empty()
                 : Optional.of(KeyHash.of(service, a.getTeam(), a.getIdempotencyKey()));
-        Waiting w = new Waiting(number, urgency, a.getTeam(), Math.max(1, a.getCost()), deadline);
+        QueuedRequest w = new QueuedRequest(number, urgency, a.getTeam(), Math.max(1, a.getCost()), deadline);
         if (!a.getService().equals(service)) {
             perform(new GateAction.EndAttempt(number, new Verdict.NotRun(Reason.UNKNOWN_SERVICE, Duration.ZERO), 0));
             return;
