--- a/core/src/main/java/org/citrontide/core/admission/AdmissionController.java
+++ b/core/src/main/java/org/citrontide/core/admission/AdmissionController.java
@@ -9,23 +9,24 @@
 import org.citrontide.core.verdict.Verdict;
 
 /**
- * Stops a flood at the entry, before it costs a round trip to a sidecar.
+ * Sheds excess load at the entry, which saves a round trip to an overloaded sidecar.
  *
- * <p>Each key has a level, the part of its requests that are let through. A refusal by a sidecar multiplies the level
- * by {@value #DECREASE}; an accepted request and the passage of time raise it again. Requests are let through evenly:
- * each adds its level to a sum, and passes when the sum reaches one.
+ * <p>Each key has an admission level, the fraction of its requests that are admitted. A refusal by a sidecar multiplies
+ * the level by {@value #DECREASE}; accepted requests and the passage of time increase it. Requests are admitted at even
+ * intervals: each adds the level to an accumulator and is admitted when the accumulator reaches one.
  *
- * <p>Invariants: a level stays between {@value #LEAST_LEVEL} and 1, so that every team keeps probing; keys that are
- * fully open are not kept, and at most {@value #MAX_KEYS} are. Time is monotonic and passed in. Not thread-safe.
+ * <p>Invariants: a level stays between {@value #MIN_LEVEL} and 1, so that every team keeps probing. Keys with level 1
+ * are not stored, and at most {@value #MAX_KEYS} others are. Time is monotonic and passed as an argument. Not
+ * thread-safe.
  */
 public final class AdmissionController {
     private static final double DECREASE = 0.8;
     private static final double INCREASE_PER_ACCEPTED = 0.02;
     private static final double INCREASE_PER_SECOND = 0.05;
-    private static final double LEAST_LEVEL = 0.02;
+    private static final double MIN_LEVEL = 0.02;
     private static final int MAX_KEYS = 8192;
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final long LEAST_RETRY_AFTER_MS = 1000;
+    private static final long MIN_RETRY_AFTER_MS = 1000;
     private static final long MAX_RETRY_AFTER_MS = 30_000;
 
     private final Map<AdmissionKey, Level> levels = new LinkedHashMap<>(16, 0.75f, true) {
@@ -36,11 +37,11 @@
     };
 
     /**
-     * Decides on one request.
+     * Decides whether a request is admitted.
      *
-     * @param key whose request it is
+     * @param key admission key of the request
      * @param nowNanos monotonic time in ns
-     * @return the refusal, or empty if the request may go on
+     * @return the refusal, or empty if the request is admitted
      */
     public Optional<Verdict.NotRun> admit(AdmissionKey key, long nowNanos) {
         Level level = levels.get(key);
@@ -52,20 +53,20 @@
             levels.remove(key);
             return Optional.empty();
         }
-        level.sum += level.value;
-        if (level.sum >= 1) {
-            level.sum -= 1;
+        level.accumulator += level.value;
+        if (level.accumulator >= 1) {
+            level.accumulator -= 1;
             return Optional.empty();
         }
         return Optional.of(new Verdict.NotRun(Reason.OVER_SHARE, retryAfter(level.value)));
     }
 
     /**
-     * Learns that a sidecar took a request of this key.
+     * Records that a request was completed, and increases the level of its key.
      *
-     * @param key whose request it was
+     * @param key admission key of the request
      */
-    public void accepted(AdmissionKey key) {
+    public void recordAccepted(AdmissionKey key) {
         Level level = levels.get(key);
         if (level != null) {
             level.value = Math.min(1, level.value + INCREASE_PER_ACCEPTED);
@@ -73,21 +74,21 @@
     }
 
     /**
-     * Learns that a sidecar refused a request of this key for want of room.
+     * Records that a sidecar refused a request because of overload, and decreases the level of its key.
      *
-     * @param key whose request it was
+     * @param key admission key of the request
      * @param nowNanos monotonic time in ns
      */
-    public void refused(AdmissionKey key, long nowNanos) {
+    public void recordRefused(AdmissionKey key, long nowNanos) {
         Level level = levels.computeIfAbsent(key, k -> new Level(nowNanos));
         level.recover(nowNanos);
-        level.value = Math.max(LEAST_LEVEL, level.value * DECREASE);
+        level.value = Math.max(MIN_LEVEL, level.value * DECREASE);
     }
 
     /**
-     * Returns the part of a key's requests that is let through.
+     * Returns the fraction of the requests of a key that is admitted.
      *
-     * @param key whose requests
+     * @param key admission key of the requests
      * @return a number from 0 to 1
      */
     public double level(AdmissionKey key) {
@@ -96,13 +97,13 @@
     }
 
     private static Duration retryAfter(double level) {
-        long ms = (long) (LEAST_RETRY_AFTER_MS / level);
+        long ms = (long) (MIN_RETRY_AFTER_MS / level);
         return Duration.ofMillis(Math.min(MAX_RETRY_AFTER_MS, ms));
     }
 
     private static final class Level {
         private double value = 1;
-        private double sum;
+        private double accumulator;
         private long updatedNanos;
 
         private Level(long nowNanos) {
--- a/core/src/main/java/org/citrontide/core/admission/AdmissionKey.java
+++ b/core/src/main/java/org/citrontide/core/admission/AdmissionKey.java
@@ -3,7 +3,7 @@
 import org.citrontide.core.publication.Urgency;
 
 /**
- * Whose requests one admission level covers. Immutable.
+ * The key of an admission level: the requests of one team to one service in one urgency class. Immutable.
  *
  * @param service name of the service
  * @param urgency class of the requests
--- a/core/src/main/java/org/citrontide/core/dispatch/Dispatcher.java
+++ b/core/src/main/java/org/citrontide/core/dispatch/Dispatcher.java
@@ -337,9 +337,9 @@
 
         private void updateAdmission(DispatchRequest r, Verdict verdict) {
             switch (verdict) {
-                case Verdict.Completed c -> admission.accepted(admissionKey(r));
+                case Verdict.Completed c -> admission.recordAccepted(admissionKey(r));
                 case Verdict.NotRun n
-                when n.reason() == Reason.OVERLOADED -> admission.refused(admissionKey(r), nowNanos);
+                when n.reason() == Reason.OVERLOADED -> admission.recordRefused(admissionKey(r), nowNanos);
                 default -> {
                     // Other outcomes carry no information about the load of the service.
                 }
--- a/dist/src/test/java/org/citrontide/dist/SlopeBench.java
+++ b/dist/src/test/java/org/citrontide/dist/SlopeBench.java
@@ -173,7 +173,7 @@
     private static AdmissionController admissionOf(int count) {
         AdmissionController a = new AdmissionController();
         for (int i = 0; i < count; i++) {
-            a.refused(key(i), 0);
+            a.recordRefused(key(i), 0);
         }
         return a;
     }
