--- a/core/src/main/java/org/citrontide/core/dispatch/Dispatcher.java
+++ b/core/src/main/java/org/citrontide/core/dispatch/Dispatcher.java
@@ -31,11 +31,12 @@
  * <p>Invariants:
  *
  * <ul>
- *   <li>Each request ends in exactly one of {@link DispatchAction.SendAnswer}, {@link DispatchAction.RefuseRequest} and {@link
- *       DispatchAction.EndStream}, unless its caller disconnected; no later action refers to it.
+ *   <li>Each request ends in exactly one of {@link DispatchAction.SendAnswer}, {@link DispatchAction.RefuseRequest}
+ *       and {@link DispatchAction.EndStream}, unless its caller disconnected; no later action refers to it.
  *   <li>A request ends in {@link Verdict.NotRun} only if it is certain that none of its attempts ran.
- *   <li>An answer passed on as completed consists of every byte that the upstream sent, in order, and only of bytes from
- *       attempts of this request. Attempt numbers are never reused; frames of unknown attempts are dropped and counted.
+ *   <li>An answer passed on as completed consists of every byte that the upstream sent, in order, and only of bytes
+ *       from attempts of this request. Attempt numbers are never reused; frames of unknown attempts are dropped and
+ *       counted.
  *   <li>A request that is not repeatable gets a further attempt only after {@link Verdict.NotRun}.
  * </ul>
  *
--- a/core/src/main/java/org/citrontide/core/gate/AttemptSequence.java
+++ b/core/src/main/java/org/citrontide/core/gate/AttemptSequence.java
@@ -1,7 +1,8 @@
 package org.citrontide.core.gate;
 
 /**
- * Detects duplicate attempts on one link. An entry numbers its attempts in ascending order and sends them in that order.
+ * Detects duplicate attempts on one link. An entry numbers its attempts in ascending order and sends them in
+ * that order.
  *
  * <p>Invariant: each number is accepted at most once. Not thread-safe.
  */
--- a/core/src/main/java/org/citrontide/core/gate/GateRequest.java
+++ b/core/src/main/java/org/citrontide/core/gate/GateRequest.java
@@ -13,7 +13,7 @@
  * @param repeatable whether the request may safely run more than once
  * @param key hash of its idempotency key, empty if it has none
  * @param deadlineEpochMillis deadline by the entry's wall clock, in ms since 1970. It detects attempts that were left
- *     unread while this process was suspended; the monotonic deadline cannot, since it is computed at the time of reading
+ *     unread while this process was suspended; the monotonic deadline cannot, since it is computed when they are read
  */
 public record GateRequest(QueuedRequest waiting, boolean repeatable, Optional<KeyHash> key, long deadlineEpochMillis) {
 
--- a/core/src/main/java/org/citrontide/core/gate/LiveDemand.java
+++ b/core/src/main/java/org/citrontide/core/gate/LiveDemand.java
@@ -3,7 +3,8 @@
 /**
  * Tracks the recent peak of slots that live requests needed concurrently.
  *
- * <p>Invariant: the reserve is at least the highest demand recorded, reduced by exponential decay over time. Not thread-safe.
+ * <p>Invariant: the reserve is at least the highest demand recorded, reduced by exponential decay over time. Not
+ * thread-safe.
  */
 final class LiveDemand {
     private static final double DECAY_SECONDS = 10;
--- a/core/src/main/java/org/citrontide/core/gate/SidecarGate.java
+++ b/core/src/main/java/org/citrontide/core/gate/SidecarGate.java
@@ -27,7 +27,8 @@
  * <ul>
  *   <li>At most {@link ServiceFile.Limits#slots()} attempts hold a slot; an attempt holds one from the moment it leaves
  *       the queue until its end. Attempts of lower classes leave {@link ServiceFile.Limits#liveSlots()} to live ones.
- *   <li>Every attempt that arrives ends in exactly one {@link GateAction.EndAttempt} or {@link GateAction.ReplayAnswer}.
+ *   <li>Every attempt that arrives ends in exactly one {@link GateAction.EndAttempt} or {@link
+ *       GateAction.ReplayAnswer}.
  *   <li>An attempt that ends in {@link Verdict.NotRun} was never started, or its call was never sent.
  *   <li>A call that is not repeatable and has a key starts only under a claim; it continues after its caller has
  *       disconnected, so that its answer is known.
--- a/core/src/main/java/org/citrontide/core/queue/SidecarQueue.java
+++ b/core/src/main/java/org/citrontide/core/queue/SidecarQueue.java
@@ -25,8 +25,8 @@
  *       of the team with the highest waiting cost relative to its weight. The evicted request has not run.
  * </ul>
  *
- * <p>Every operation on one request takes time logarithmic in the number of teams and waiting requests. Not thread-safe:
- * confined to one thread.
+ * <p>Every operation on one request takes time logarithmic in the number of teams and waiting requests. Not
+ * thread-safe: confined to one thread.
  */
 public final class SidecarQueue {
     private static final int FULL_PERCENT = 100;
--- a/core/src/test/java/org/citrontide/core/faults/FakeClaimStore.java
+++ b/core/src/test/java/org/citrontide/core/faults/FakeClaimStore.java
@@ -8,28 +8,28 @@
 import org.citrontide.core.claim.ClaimAction;
 import org.citrontide.core.claim.ClaimEvent;
 
-/** Buckets with compare-and-swap. */
+/** An in-memory store of claim buckets with compare-and-set. */
 final class FakeClaimStore {
     boolean down;
 
-    private final Map<Integer, Stored> buckets = new HashMap<>();
+    private final Map<Integer, Bucket> buckets = new HashMap<>();
     private long nextRevision = 1;
 
-    ClaimEvent carryOut(ClaimAction call) {
+    ClaimEvent execute(ClaimAction call) {
         return switch (call) {
             case ClaimAction.Read r -> {
-                Stored s = buckets.getOrDefault(r.bucket(), new Stored(0, List.of()));
-                yield new ClaimEvent.BucketRead(r.bucket(), s.revision(), s.claims());
+                Bucket bucket = buckets.getOrDefault(r.bucket(), new Bucket(0, List.of()));
+                yield new ClaimEvent.BucketRead(r.bucket(), bucket.revision(), bucket.claims());
             }
             case ClaimAction.Write w -> {
-                Stored s = buckets.getOrDefault(w.bucket(), new Stored(0, List.of()));
-                if (s.revision() != w.expectedRevision()) {
+                Bucket bucket = buckets.getOrDefault(w.bucket(), new Bucket(0, List.of()));
+                if (bucket.revision() != w.expectedRevision()) {
                     yield new ClaimEvent.BucketConflict(w.bucket());
                 }
-                buckets.put(w.bucket(), new Stored(nextRevision, w.claims()));
+                buckets.put(w.bucket(), new Bucket(nextRevision, w.claims()));
                 yield new ClaimEvent.BucketWritten(w.bucket(), nextRevision++);
             }
-            default -> throw new IllegalStateException("not a call: " + call);
+            default -> throw new IllegalStateException("not a store call: " + call);
         };
     }
 
@@ -37,5 +37,5 @@
         return call instanceof ClaimAction.Read r ? r.bucket() : ((ClaimAction.Write) call).bucket();
     }
 
-    private record Stored(long revision, List<Claim> claims) {}
+    private record Bucket(long revision, List<Claim> claims) {}
 }
--- a/core/src/test/java/org/citrontide/core/faults/FakeEntry.java
+++ b/core/src/test/java/org/citrontide/core/faults/FakeEntry.java
@@ -17,10 +17,10 @@
 import org.citrontide.core.publication.Urgency;
 import org.citrontide.core.verdict.Verdict;
 
-/** An entry process around the real dispatcher. */
+/** A simulated entry process around the real dispatcher. */
 final class FakeEntry {
-    /** One request of a caller; asks of the same caller with the same key share the name. */
-    record Ask(long id, String name, boolean repeatable, boolean streamed, Optional<String> key) {
+    /** A request of a caller. Repetitions of a request with the same key share its name. */
+    record CallerRequest(long id, String name, boolean repeatable, boolean streamed, Optional<String> key) {
         Urgency urgency() {
             return Urgency.LIVE;
         }
@@ -29,9 +29,9 @@
             return "ashworth";
         }
 
-        List<String> chunks(int skip) {
+        List<String> chunks(int skippedChunks) {
             List<String> chunks = new ArrayList<>();
-            for (int i = skip; i < 4; i++) {
+            for (int i = skippedChunks; i < 4; i++) {
                 chunks.add(streamed ? "data: " + name + i + "\n\n" : name + i + ";");
             }
             if (streamed) {
@@ -46,43 +46,43 @@
     }
 
     final int number;
-    final FaultWorld world;
-    int starts;
+    final FaultSimulation simulation;
+    int incarnation;
     private Dispatcher dispatcher;
-    private final Map<Long, Ask> asks = new HashMap<>();
-    private final Map<Long, StringBuilder> streams = new HashMap<>();
+    private final Map<Long, CallerRequest> openRequests = new HashMap<>();
+    private final Map<Long, StringBuilder> streamContents = new HashMap<>();
 
-    FakeEntry(int number, FaultWorld world) {
+    FakeEntry(int number, FaultSimulation simulation) {
         this.number = number;
-        this.world = world;
+        this.simulation = simulation;
     }
 
     void start() {
-        starts++;
-        asks.clear();
-        streams.clear();
+        incarnation++;
+        openRequests.clear();
+        streamContents.clear();
         dispatcher = new Dispatcher(
                 "mill-brook",
                 new UpstreamSubset("entry", "mill-brook", 100_000),
-                new SplittableRandom(world.loop.random.nextLong()));
-        step(new DispatchEvent.ConfigurationChanged(world.configuration));
-        step(new DispatchEvent.VmListChanged(world.listed()));
-        world.sidecars.forEach(s -> world.connect(this, s));
+                new SplittableRandom(simulation.loop.random.nextLong()));
+        handle(new DispatchEvent.ConfigurationChanged(simulation.configuration));
+        handle(new DispatchEvent.VmListChanged(simulation.vmList()));
+        simulation.sidecars.forEach(s -> simulation.connect(this, s));
     }
 
-    /** Ends all callers' connections; a new process takes the place of this one. */
-    void kill() {
-        List<Ask> lost = List.copyOf(asks.values());
+    /** Replaces the process by a new one; all connections of its callers are lost. */
+    void killAndRestart() {
+        List<CallerRequest> lost = List.copyOf(openRequests.values());
         start();
-        lost.forEach(a -> world.brokenOff(a));
+        lost.forEach(a -> simulation.callerConnectionLost(a));
     }
 
-    void ask(Ask a) {
-        asks.put(a.id(), a);
+    void submit(CallerRequest a) {
+        openRequests.put(a.id(), a);
         Optional<Integer> bucket = a.key()
                 .filter(k -> !a.repeatable())
                 .map(k -> KeyHash.of("booking", a.team(), k).bucket());
-        step(new DispatchEvent.RequestArrived(new DispatchRequest(
+        handle(new DispatchEvent.RequestArrived(new DispatchRequest(
                 a.id(),
                 "booking",
                 a.team(),
@@ -90,58 +90,64 @@
                 1,
                 a.repeatable(),
                 bucket,
-                world.loop.now() + 10 * EventLoop.SECOND)));
+                simulation.loop.now() + 10 * EventLoop.SECOND)));
     }
 
-    void step(DispatchEvent event) {
-        int start = starts;
-        for (DispatchAction a : dispatcher.handle(event, world.loop.now())) {
-            if (start == starts) {
+    void handle(DispatchEvent event) {
+        int initialIncarnation = incarnation;
+        for (DispatchAction a : dispatcher.handle(event, simulation.loop.now())) {
+            if (initialIncarnation == incarnation) {
                 perform(a);
             }
         }
     }
 
     void tick() {
-        step(new DispatchEvent.Tick());
+        handle(new DispatchEvent.Tick());
     }
 
     private void perform(DispatchAction action) {
         switch (action) {
             case DispatchAction.SendAttempt s -> {
-                Ask a = asks.get(s.request());
-                long left = s.remaining().toNanos();
-                FakeSidecar target = world.sidecar(s.upstream());
-                int resume = s.resumeAfterEvents();
-                int start = starts;
-                world.attempts++;
-                world.at(
-                        Step.ATTEMPT_SENT,
+                CallerRequest a = openRequests.get(s.request());
+                long remainingNanos = s.remaining().toNanos();
+                FakeSidecar target = simulation.sidecar(s.upstream());
+                int eventsToSkip = s.resumeAfterEvents();
+                int initialIncarnation = incarnation;
+                simulation.attemptCount++;
+                simulation.deliverOrInject(
+                        InjectionPoint.ATTEMPT_SENT,
                         target,
                         this,
-                        () -> world.toSidecar(
-                                this, target, () -> target.attempt(this, start, s.attempt(), a, left, resume)));
+                        () -> simulation.sendToSidecar(
+                                this,
+                                target,
+                                () -> target.receiveAttempt(
+                                        this, initialIncarnation, s.attempt(), a, remainingNanos, eventsToSkip)));
             }
             case DispatchAction.CancelAttempt c -> {
-                FakeSidecar target = world.sidecar(c.upstream());
-                world.toSidecar(this, target, () -> target.cancel(this, c.attempt()));
+                FakeSidecar target = simulation.sidecar(c.upstream());
+                simulation.sendToSidecar(this, target, () -> target.cancel(this, c.attempt()));
             }
             case DispatchAction.SendAnswer a ->
-                end(a.request(), new Verdict.Completed(a.status()), new String(a.body(), StandardCharsets.UTF_8));
-            case DispatchAction.BeginStream b -> streams.put(b.request(), new StringBuilder());
+                finish(a.request(), new Verdict.Completed(a.status()), new String(a.body(), StandardCharsets.UTF_8));
+            case DispatchAction.BeginStream b -> streamContents.put(b.request(), new StringBuilder());
             case DispatchAction.SendEvents s ->
-                streams.get(s.request()).append(new String(s.data(), StandardCharsets.UTF_8));
+                streamContents.get(s.request()).append(new String(s.data(), StandardCharsets.UTF_8));
             case DispatchAction.EndStream s ->
-                end(s.request(), s.verdict(), streams.remove(s.request()).toString());
-            case DispatchAction.RefuseRequest r -> end(r.request(), r.verdict(), "");
+                finish(
+                        s.request(),
+                        s.verdict(),
+                        streamContents.remove(s.request()).toString());
+            case DispatchAction.RefuseRequest r -> finish(r.request(), r.verdict(), "");
             default -> {
-                // Links and credit are the shell's.
+                // The simulation does not model links and credit.
             }
         }
     }
 
-    private void end(long request, Verdict verdict, String content) {
-        Ask a = asks.remove(request);
-        world.ended(a, verdict, content);
+    private void finish(long request, Verdict verdict, String content) {
+        CallerRequest a = openRequests.remove(request);
+        simulation.recordEnd(a, verdict, content);
     }
 }
--- a/core/src/test/java/org/citrontide/core/faults/FakeSidecar.java
+++ b/core/src/test/java/org/citrontide/core/faults/FakeSidecar.java
@@ -24,221 +24,240 @@
 import org.citrontide.core.verdict.Reason;
 import org.citrontide.core.verdict.Verdict;
 
-/** A sidecar process around the real gate, and the upstream behind it. */
+/** A simulated sidecar process around the real gate, with its upstream. */
 final class FakeSidecar {
-    private static final long CALL_NANOS = 20 * EventLoop.MILLI;
+    private static final long CALL_DURATION_NANOS = 20 * EventLoop.MILLI;
 
-    private record Open(FakeEntry entry, int entryStart, long attempt, FakeEntry.Ask ask, int resume) {}
+    private record OpenAttempt(
+            FakeEntry entry, int entryIncarnation, long attempt, FakeEntry.CallerRequest request, int eventsToSkip) {}
 
     final UpstreamId id;
-    final FaultWorld world;
-    long frozenUntil;
-    int upstreamBreaks;
+    final FaultSimulation simulation;
+    long suspendedUntil;
+    int upstreamCallsToFail;
     private SidecarGate gate;
-    private int starts;
+    private int incarnation;
     private long nextNumber = 1;
-    private final Map<Long, Open> open = new HashMap<>();
+    private final Map<Long, OpenAttempt> openAttempts = new HashMap<>();
     private final Map<FakeEntry, AttemptSequence> sequences = new HashMap<>();
-    private final Set<Long> aborted = new HashSet<>();
+    private final Set<Long> abortedCalls = new HashSet<>();
 
-    FakeSidecar(UpstreamId id, FaultWorld world) {
+    FakeSidecar(UpstreamId id, FaultSimulation simulation) {
         this.id = id;
-        this.world = world;
+        this.simulation = simulation;
         start();
     }
 
     void start() {
-        starts++;
-        open.clear();
+        incarnation++;
+        openAttempts.clear();
         sequences.clear();
-        gate = new SidecarGate(1000L * id.port() + starts);
-        step(new GateEvent.ConfigurationChanged(world.service));
+        gate = new SidecarGate(1000L * id.port() + incarnation);
+        handle(new GateEvent.ConfigurationChanged(simulation.service));
     }
 
-    /** Runs on this process's thread, if this start of it still lives, once it is not frozen. */
-    private void inProcess(Runnable run) {
-        int start = starts;
-        whenThawed(() -> {
-            if (start == starts) {
-                run.run();
+    /** Runs a task in this process once it is not suspended. Does nothing if the process was restarted meanwhile. */
+    private void runInProcess(Runnable task) {
+        int initialIncarnation = incarnation;
+        whenResumed(() -> {
+            if (initialIncarnation == incarnation) {
+                task.run();
             }
         });
     }
 
-    private void whenThawed(Runnable run) {
-        if (world.loop.now() >= frozenUntil) {
-            run.run();
+    private void whenResumed(Runnable task) {
+        if (simulation.loop.now() >= suspendedUntil) {
+            task.run();
         } else {
-            world.loop.after(frozenUntil - world.loop.now(), () -> whenThawed(run));
+            simulation.loop.schedule(suspendedUntil - simulation.loop.now(), () -> whenResumed(task));
         }
     }
 
-    void attempt(FakeEntry entry, int entryStart, long attempt, FakeEntry.Ask ask, long remainingNanos, int resume) {
-        long deadlineEpoch = world.loop.epochMillis() + remainingNanos / EventLoop.MILLI;
-        inProcess(() -> {
+    void receiveAttempt(
+            FakeEntry entry,
+            int entryIncarnation,
+            long attempt,
+            FakeEntry.CallerRequest request,
+            long remainingNanos,
+            int eventsToSkip) {
+        long deadlineEpoch = simulation.loop.epochMillis() + remainingNanos / EventLoop.MILLI;
+        runInProcess(() -> {
             if (!sequences.computeIfAbsent(entry, e -> new AttemptSequence()).accept(attempt)) {
                 return;
             }
             long number = nextNumber++;
-            open.put(number, new Open(entry, entryStart, attempt, ask, resume));
-            QueuedRequest w =
-                    new QueuedRequest(number, ask.urgency(), ask.team(), 1, world.loop.now() + remainingNanos);
-            Optional<KeyHash> key = ask.key().map(k -> KeyHash.of("booking", ask.team(), k));
-            step(new GateEvent.AttemptArrived(new GateRequest(w, ask.repeatable(), key, deadlineEpoch)));
+            openAttempts.put(number, new OpenAttempt(entry, entryIncarnation, attempt, request, eventsToSkip));
+            QueuedRequest w = new QueuedRequest(
+                    number, request.urgency(), request.team(), 1, simulation.loop.now() + remainingNanos);
+            Optional<KeyHash> key = request.key().map(k -> KeyHash.of("booking", request.team(), k));
+            handle(new GateEvent.AttemptArrived(new GateRequest(w, request.repeatable(), key, deadlineEpoch)));
         });
     }
 
     void cancel(FakeEntry entry, long attempt) {
-        inProcess(() -> List.copyOf(open.entrySet()).stream()
+        runInProcess(() -> List.copyOf(openAttempts.entrySet()).stream()
                 .filter(e -> e.getValue().entry() == entry && e.getValue().attempt() == attempt)
-                .forEach(e -> step(new GateEvent.AttemptCancelled(e.getKey()))));
+                .forEach(e -> handle(new GateEvent.AttemptCancelled(e.getKey()))));
     }
 
     void linkLost(FakeEntry entry) {
-        inProcess(() -> sequences.remove(entry));
-        inProcess(() -> List.copyOf(open.entrySet()).stream()
+        runInProcess(() -> sequences.remove(entry));
+        runInProcess(() -> List.copyOf(openAttempts.entrySet()).stream()
                 .filter(e -> e.getValue().entry() == entry)
-                .forEach(e -> step(new GateEvent.AttemptCancelled(e.getKey()))));
+                .forEach(e -> handle(new GateEvent.AttemptCancelled(e.getKey()))));
     }
 
     void tick() {
-        inProcess(() -> step(new GateEvent.Tick()));
+        runInProcess(() -> handle(new GateEvent.Tick()));
     }
 
     void drain() {
-        inProcess(() -> step(new GateEvent.DrainRequested()));
+        runInProcess(() -> handle(new GateEvent.DrainRequested()));
     }
 
     void report(FakeEntry entry) {
-        world.toEntry(this, entry, new DispatchEvent.ReportReceived(id, gate.report()));
+        simulation.sendToEntry(this, entry, new DispatchEvent.ReportReceived(id, gate.report()));
     }
 
-    private void step(GateEvent event) {
-        int start = starts;
-        for (GateAction a : gate.handle(event, world.loop.now(), world.loop.epochMillis())) {
-            if (start == starts) {
+    private void handle(GateEvent event) {
+        int initialIncarnation = incarnation;
+        for (GateAction a : gate.handle(event, simulation.loop.now(), simulation.loop.epochMillis())) {
+            if (initialIncarnation == incarnation) {
                 perform(a);
             }
         }
     }
 
     private void perform(GateAction action) {
-        int start = starts;
+        int initialIncarnation = incarnation;
         switch (action) {
-            case GateAction.StartCall s -> world.at(Step.CALL_LEAVING, this, entryOf(s.id()), () -> leave(s, start));
-            case GateAction.AbortCall a -> aborted.add(a.id());
-            case GateAction.CallClaimStore c -> claimCall(c.call());
-            case GateAction.ReplayAnswer r -> replay(r);
+            case GateAction.StartCall s ->
+                simulation.deliverOrInject(
+                        InjectionPoint.CALL_START, this, entryOf(s.id()), () -> sendCall(s, initialIncarnation));
+            case GateAction.AbortCall a -> abortedCalls.add(a.id());
+            case GateAction.CallClaimStore c -> callStore(c.call());
+            case GateAction.ReplayAnswer r -> replayAnswer(r);
             case GateAction.EndAttempt e -> {
-                Open o = open.remove(e.id());
+                OpenAttempt o = openAttempts.remove(e.id());
                 if (o != null) {
-                    answer(Step.ANSWER_END, o, new DispatchEvent.AttemptEnded(o.attempt(), e.verdict(), e.length()));
+                    sendAnswerEvent(
+                            InjectionPoint.ANSWER_END,
+                            o,
+                            new DispatchEvent.AttemptEnded(o.attempt(), e.verdict(), e.length()));
                 }
             }
             case GateAction.DrainCompleted d -> {
-                // Only the shell waits for this.
+                // Only the real shell acts on this.
             }
         }
     }
 
     private FakeEntry entryOf(long number) {
-        return open.containsKey(number) ? open.get(number).entry() : world.entries.getFirst();
+        return openAttempts.containsKey(number) ? openAttempts.get(number).entry() : simulation.entries.getFirst();
     }
 
-    /** The last check of both clocks happens when the process's thread gets to it, however late. */
-    private void leave(GateAction.StartCall s, int start) {
-        inProcess(() -> {
-            if (start != starts) {
+    /** Checks both time limits when the process actually runs, late if it was suspended, and sends the call. */
+    private void sendCall(GateAction.StartCall s, int initialIncarnation) {
+        runInProcess(() -> {
+            if (initialIncarnation != incarnation) {
                 return;
             }
-            boolean inTime = world.loop.now() < s.latestNanos() && world.loop.epochMillis() < s.latestEpochMillis();
-            Open o = open.get(s.id());
+            boolean inTime =
+                    simulation.loop.now() < s.latestNanos() && simulation.loop.epochMillis() < s.latestEpochMillis();
+            OpenAttempt o = openAttempts.get(s.id());
             if (!inTime) {
-                step(new GateEvent.CallEnded(s.id(), new CallOutcome.NeverSent(Reason.DEADLINE)));
+                handle(new GateEvent.CallEnded(s.id(), new CallOutcome.NeverSent(Reason.DEADLINE)));
                 return;
             }
-            world.ran(o.ask());
-            world.at(
-                    Step.CALL_RUNNING,
+            simulation.recordRun(o.request());
+            simulation.deliverOrInject(
+                    InjectionPoint.CALL_RUNNING,
                     this,
                     o.entry(),
-                    () -> world.loop.after(
-                            CALL_NANOS,
-                            () -> inProcess(() -> {
+                    () -> simulation.loop.schedule(
+                            CALL_DURATION_NANOS,
+                            () -> runInProcess(() -> {
                                 finishCall(s.id(), o);
                             })));
         });
     }
 
-    private void finishCall(long number, Open o) {
-        if (aborted.remove(number) || upstreamBreaks-- > 0) {
-            step(new GateEvent.CallEnded(number, new CallOutcome.AnswerLost(Reason.CONNECTION_LOST)));
+    private void finishCall(long number, OpenAttempt o) {
+        if (abortedCalls.remove(number) || upstreamCallsToFail-- > 0) {
+            handle(new GateEvent.CallEnded(number, new CallOutcome.AnswerLost(Reason.CONNECTION_LOST)));
             return;
         }
-        String type = o.ask().streamed() ? "text/event-stream" : "text/plain";
-        List<String> chunks = o.ask().chunks(o.resume());
-        answer(Step.ANSWER_HEAD, o, new DispatchEvent.AnswerHead(o.attempt(), 200, type));
+        String type = o.request().streamed() ? "text/event-stream" : "text/plain";
+        List<String> chunks = o.request().chunks(o.eventsToSkip());
+        sendAnswerEvent(InjectionPoint.ANSWER_HEAD, o, new DispatchEvent.AnswerHead(o.attempt(), 200, type));
         long offset = 0;
         StringBuilder whole = new StringBuilder();
         for (String c : chunks) {
             byte[] bytes = c.getBytes(StandardCharsets.UTF_8);
-            answer(Step.ANSWER_CHUNK, o, new DispatchEvent.AnswerChunk(o.attempt(), offset, bytes));
+            sendAnswerEvent(InjectionPoint.ANSWER_CHUNK, o, new DispatchEvent.AnswerChunk(o.attempt(), offset, bytes));
             offset += bytes.length;
             whole.append(c);
         }
         StoredAnswer kept = new StoredAnswer(200, type, whole.toString().getBytes(StandardCharsets.UTF_8));
-        step(new GateEvent.CallEnded(number, new CallOutcome.Answered(200, offset, Optional.of(kept))));
+        handle(new GateEvent.CallEnded(number, new CallOutcome.Answered(200, offset, Optional.of(kept))));
     }
 
-    private void replay(GateAction.ReplayAnswer r) {
-        Open o = open.remove(r.id());
+    private void replayAnswer(GateAction.ReplayAnswer r) {
+        OpenAttempt o = openAttempts.remove(r.id());
         StoredAnswer a = r.answer();
-        answer(Step.ANSWER_HEAD, o, new DispatchEvent.AnswerHead(o.attempt(), a.status(), a.contentType()));
-        answer(Step.ANSWER_CHUNK, o, new DispatchEvent.AnswerChunk(o.attempt(), 0, a.body()));
-        answer(
-                Step.ANSWER_END,
+        sendAnswerEvent(
+                InjectionPoint.ANSWER_HEAD, o, new DispatchEvent.AnswerHead(o.attempt(), a.status(), a.contentType()));
+        sendAnswerEvent(InjectionPoint.ANSWER_CHUNK, o, new DispatchEvent.AnswerChunk(o.attempt(), 0, a.body()));
+        sendAnswerEvent(
+                InjectionPoint.ANSWER_END,
                 o,
                 new DispatchEvent.AttemptEnded(o.attempt(), new Verdict.Completed(200), a.body().length));
     }
 
-    private void answer(Step step, Open o, DispatchEvent event) {
-        world.at(step, this, o.entry(), () -> world.toEntry(this, o.entry(), o.entryStart(), event));
+    private void sendAnswerEvent(InjectionPoint point, OpenAttempt o, DispatchEvent event) {
+        simulation.deliverOrInject(
+                point, this, o.entry(), () -> simulation.sendToEntry(this, o.entry(), o.entryIncarnation(), event));
     }
 
-    private void claimCall(ClaimAction call) {
-        Step step = call instanceof ClaimAction.Read ? Step.CLAIM_READ : Step.CLAIM_WRITE;
+    private void callStore(ClaimAction call) {
+        InjectionPoint point =
+                call instanceof ClaimAction.Read ? InjectionPoint.CLAIM_READ : InjectionPoint.CLAIM_WRITE;
         int bucket = FakeClaimStore.bucket(call);
-        int start = starts;
-        boolean[] answered = new boolean[1];
-        Runnable lost = () -> reply(start, answered, new ClaimEvent.BucketFailed(bucket, step == Step.CLAIM_WRITE));
-        world.loop.after(2 * EventLoop.SECOND, () -> inProcess(lost));
-        world.at(
-                step,
+        int initialIncarnation = incarnation;
+        boolean[] replied = new boolean[1];
+        Runnable onTimeout = () -> deliverReply(
+                initialIncarnation, replied, new ClaimEvent.BucketFailed(bucket, point == InjectionPoint.CLAIM_WRITE));
+        simulation.loop.schedule(2 * EventLoop.SECOND, () -> runInProcess(onTimeout));
+        simulation.deliverOrInject(
+                point,
                 this,
-                world.entries.getFirst(),
-                () -> world.loop.send("store" + id, () -> {
-                    if (world.store.down) {
-                        inProcess(() -> reply(start, answered, new ClaimEvent.BucketFailed(bucket, false)));
+                simulation.entries.getFirst(),
+                () -> simulation.loop.send("store" + id, () -> {
+                    if (simulation.store.down) {
+                        runInProcess(() ->
+                                deliverReply(initialIncarnation, replied, new ClaimEvent.BucketFailed(bucket, false)));
                         return;
                     }
-                    ClaimEvent reply = world.store.carryOut(call);
-                    if (world.loseStoreAnswers > 0) {
-                        world.loseStoreAnswers--;
+                    ClaimEvent reply = simulation.store.execute(call);
+                    if (simulation.storeRepliesToDrop > 0) {
+                        simulation.storeRepliesToDrop--;
                         return;
                     }
-                    world.at(
-                            Step.CLAIM_WRITE_ANSWER,
+                    simulation.deliverOrInject(
+                            InjectionPoint.CLAIM_REPLY,
                             this,
-                            world.entries.getFirst(),
-                            () -> world.loop.send(
-                                    "fromstore" + id, () -> inProcess(() -> reply(start, answered, reply))));
+                            simulation.entries.getFirst(),
+                            () -> simulation.loop.send(
+                                    "fromstore" + id,
+                                    () -> runInProcess(() -> deliverReply(initialIncarnation, replied, reply))));
                 }));
     }
 
-    private void reply(int start, boolean[] answered, ClaimEvent event) {
-        if (start == starts && !answered[0]) {
-            answered[0] = true;
-            step(new GateEvent.ClaimReplyReceived(event));
+    private void deliverReply(int initialIncarnation, boolean[] replied, ClaimEvent event) {
+        if (initialIncarnation == incarnation && !replied[0]) {
+            replied[0] = true;
+            handle(new GateEvent.ClaimReplyReceived(event));
         }
     }
 }
--- a/core/src/test/java/org/citrontide/core/faults/Fault.java
+++ b/core/src/test/java/org/citrontide/core/faults/Fault.java
@@ -1,18 +1,18 @@
 package org.citrontide.core.faults;
 
-/** What can go wrong at a step. */
+/** A fault that can be injected. */
 enum Fault {
     KILL_SIDECAR,
     KILL_ENTRY,
-    FREEZE_SIDECAR_A_MINUTE,
-    FREEZE_SIDECAR_PAST_WINDOW,
+    SUSPEND_SIDECAR_ONE_MINUTE,
+    SUSPEND_SIDECAR_PAST_CLAIM_WINDOW,
     CUT_LINK,
-    LOSE_MESSAGE,
-    DOUBLE_MESSAGE,
+    DROP_MESSAGE,
+    DUPLICATE_MESSAGE,
     DELAY_MESSAGE,
-    STORE_DOWN,
-    STORE_ANSWER_LOST,
-    UPSTREAM_BREAKS,
+    STORE_OUTAGE,
+    DROP_STORE_REPLIES,
+    FAIL_UPSTREAM_CALL,
     DRAIN_SIDECAR,
-    CALLER_ASKS_AGAIN
+    DUPLICATE_REQUESTS
 }
--- a/core/src/test/java/org/citrontide/core/faults/FaultMatrixTest.java
+++ b/core/src/test/java/org/citrontide/core/faults/FaultMatrixTest.java
@@ -4,7 +4,7 @@
 import org.junit.platform.suite.api.SelectPackages;
 import org.junit.platform.suite.api.Suite;
 
-/** Runs the scenario outlines of this package. */
+/** Runs the fault injection scenarios of this package. */
 @Suite
 @IncludeEngines("cucumber")
 @SelectPackages("org.citrontide.core.faults")
--- a/core/src/test/java/org/citrontide/core/faults/FaultSteps.java
+++ b/core/src/test/java/org/citrontide/core/faults/FaultSteps.java
@@ -16,45 +16,45 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Runs one cell of the fault matrix by many seeds, and writes the table at the end. */
+/** Runs each cell of the fault matrix with many seeds, and writes the table of results at the end. */
 public final class FaultSteps {
     private static final int SEEDS = 60;
     private static final int PAIR_SEEDS = 8;
-    private static final Map<Step, String> PAIRS = new EnumMap<>(Step.class);
-    private static final Map<Step, Map<Fault, String>> CELLS = new EnumMap<>(Step.class);
+    private static final Map<InjectionPoint, String> PAIR_RESULTS = new EnumMap<>(InjectionPoint.class);
+    private static final Map<InjectionPoint, Map<Fault, String>> RESULTS = new EnumMap<>(InjectionPoint.class);
 
     private final List<String> violations = new ArrayList<>();
-    private Step step;
+    private InjectionPoint point;
     private Fault fault;
-    private int completed;
-    private int struck;
-    private int asked;
+    private int servedCount;
+    private int injectedCount;
+    private int requestCount;
 
     /**
-     * Strikes with one fault at one step.
+     * Injects one fault at one injection point.
      *
-     * @param faultName the fault
-     * @param stepName the step
+     * @param faultName name of the fault
+     * @param pointName name of the injection point
      */
-    @When("{word} strikes at {word}")
-    public void strikes(String faultName, String stepName) {
+    @When("{word} is injected at {word}")
+    public void injectFault(String faultName, String pointName) {
         fault = Fault.valueOf(faultName);
-        step = Step.valueOf(stepName);
+        point = InjectionPoint.valueOf(pointName);
         for (long seed = 0; seed < SEEDS; seed++) {
             run(seed, List.of(fault));
         }
-        CELLS.computeIfAbsent(step, x -> new EnumMap<>(Fault.class))
-                .put(fault, violations.isEmpty() ? "proved" : "open");
+        RESULTS.computeIfAbsent(point, x -> new EnumMap<>(Fault.class))
+                .put(fault, violations.isEmpty() ? "passed" : "failed");
     }
 
     /**
-     * Strikes with each pair of faults at one step.
+     * Injects each ordered pair of faults at one injection point.
      *
-     * @param stepName the step
+     * @param pointName name of the injection point
      */
-    @When("any two faults strike at {word}")
-    public void strikeTogether(String stepName) {
-        step = Step.valueOf(stepName);
+    @When("any two faults are injected at {word}")
+    public void injectFaultPairs(String pointName) {
+        point = InjectionPoint.valueOf(pointName);
         for (Fault first : Fault.values()) {
             for (Fault second : Fault.values()) {
                 for (long seed = 0; seed < PAIR_SEEDS; seed++) {
@@ -62,50 +62,52 @@
                 }
             }
         }
-        PAIRS.put(step, violations.isEmpty() ? "proved" : "open");
+        PAIR_RESULTS.put(point, violations.isEmpty() ? "passed" : "failed");
     }
 
-    /** Checks the invariants. */
-    @Then("each booking ran at most once, each answer is whole, and each not-run is true")
-    public void holds() {
+    /** Checks that no seed violated an invariant. */
+    @Then("no booking has run more than once, every answer is complete, and every not-run verdict is correct")
+    public void checkInvariants() {
         assertEquals(List.of(), violations.stream().limit(5).toList(), violations.size() + " violations");
     }
 
-    /** Checks that the system is not merely silent, and that the fault did strike. */
-    @Then("most requests are served all the same")
-    public void served() {
-        assertTrue(struck * 2 > SEEDS, "struck by " + struck + " seeds of " + SEEDS);
-        assertTrue(completed > asked * 3 / 4, completed + " of " + asked);
+    /** Checks that the faults were injected and that most requests were served nevertheless. */
+    @Then("most requests are served nevertheless")
+    public void checkMostRequestsServed() {
+        assertTrue(injectedCount * 2 > SEEDS, "faults injected: " + injectedCount + ", seeds: " + SEEDS);
+        assertTrue(servedCount > requestCount * 3 / 4, servedCount + " of " + requestCount);
     }
 
     /**
-     * Writes the table of cells.
+     * Writes the table of results.
      *
      * @throws IOException if the table can't be written
      */
     @AfterAll
     public static void writeTable() throws IOException {
-        StringBuilder b = new StringBuilder("# Faults by steps\n\n");
+        StringBuilder b = new StringBuilder("# Faults by injection point\n\n");
         b.append("Written by the run of `core`'s `faults.feature`; ").append(SEEDS);
-        b.append(" seeds a cell, the fault striking in more than half of them.\n");
-        b.append(
-                "Each cell checks that every booking ran at most once, every answer was whole and the caller's own,\n");
-        b.append("every *not run* was true, and every request got one answer.\n\n| fault |");
-        for (Step s : Step.values()) {
+        b.append(" seeds per cell; the fault is injected in more than half of them.\n");
+        b.append("Each cell checks that no booking ran more than once, that every answer was complete and its caller's"
+                + " own,\n");
+        b.append("that every *not run* was correct, and that every request got exactly one answer.\n\n| fault |");
+        for (InjectionPoint s : InjectionPoint.values()) {
             b.append(' ').append(label(s.name())).append(" |");
         }
-        b.append("\n|---|").append("---|".repeat(Step.values().length)).append('\n');
+        b.append("\n|---|")
+                .append("---|".repeat(InjectionPoint.values().length))
+                .append('\n');
         for (Fault f : Fault.values()) {
             b.append("| ").append(label(f.name())).append(" |");
-            for (Step s : Step.values()) {
-                String cell = CELLS.getOrDefault(s, Map.of()).getOrDefault(f, "does not apply");
+            for (InjectionPoint s : InjectionPoint.values()) {
+                String cell = RESULTS.getOrDefault(s, Map.of()).getOrDefault(f, "not applicable");
                 b.append(' ').append(cell).append(" |");
             }
             b.append('\n');
         }
-        b.append("| any two of these, ").append(PAIR_SEEDS).append(" seeds a pair |");
-        for (Step s : Step.values()) {
-            b.append(' ').append(PAIRS.getOrDefault(s, "not run")).append(" |");
+        b.append("| any two faults, ").append(PAIR_SEEDS).append(" seeds per pair |");
+        for (InjectionPoint s : InjectionPoint.values()) {
+            b.append(' ').append(PAIR_RESULTS.getOrDefault(s, "not run")).append(" |");
         }
         b.append('\n');
         Files.createDirectories(Path.of("target"));
@@ -113,17 +115,17 @@
     }
 
     private void run(long seed, List<Fault> faults) {
-        boolean local = step == Step.CALL_LEAVING || step == Step.CALL_RUNNING;
-        if (local && (faults.contains(Fault.DOUBLE_MESSAGE) || faults.contains(Fault.LOSE_MESSAGE))) {
+        boolean isLocal = point == InjectionPoint.CALL_START || point == InjectionPoint.CALL_RUNNING;
+        if (isLocal && (faults.contains(Fault.DUPLICATE_MESSAGE) || faults.contains(Fault.DROP_MESSAGE))) {
             return;
         }
-        FaultWorld w = new FaultWorld(seed, faults, step);
+        FaultSimulation w = new FaultSimulation(seed, faults, point);
         w.run();
         w.violations.forEach(v -> violations.add(faults + " seed " + seed + ": " + v));
-        struck += w.struck;
-        if (w.entriesAgree) {
-            completed += w.served.size();
-            asked += 8;
+        injectedCount += w.injectedCount;
+        if (w.allLinksUp) {
+            servedCount += w.servedNames.size();
+            requestCount += 8;
         }
     }
 
--- a/core/src/test/java/org/citrontide/core/faults/Step.java
+++ b/core/src/test/java/org/citrontide/core/faults/InjectionPoint.java
@@ -1,12 +1,12 @@
 package org.citrontide.core.faults;
 
-/** Points of a request's way at which a fault can strike. */
-enum Step {
+/** A point in the processing of a request at which a fault can be injected. */
+enum InjectionPoint {
     ATTEMPT_SENT,
     CLAIM_READ,
     CLAIM_WRITE,
-    CLAIM_WRITE_ANSWER,
-    CALL_LEAVING,
+    CLAIM_REPLY,
+    CALL_START,
     CALL_RUNNING,
     ANSWER_HEAD,
     ANSWER_CHUNK,
--- a/core/src/test/java/org/citrontide/core/faults/PolicyWorld.java
+++ b/core/src/test/java/org/citrontide/core/faults/PolicySimulation.java
@@ -26,10 +26,10 @@
 import org.citrontide.core.verdict.Verdict;
 
 /**
- * Two entries and four upstreams under load, with the real state machines and virtual time. Callers that were refused
- * ask again when they were told to. The plain baseline runs the same machines with one class and one team for all.
+ * Simulates two entries and four upstreams under load, with the real state machines and virtual time. Callers repeat
+ * refused requests after the indicated delay. The baseline runs the same state machines with a single class and team.
  */
-final class PolicyWorld {
+final class PolicySimulation {
     static final int UPSTREAMS = 4;
     static final int SLOTS = 8;
 
@@ -47,21 +47,21 @@
             slots = 8
             queue_length = 64
             """;
-    private static final long NET = EventLoop.MILLI;
-    private static final int MAX_ASKS = 4;
+    private static final long NETWORK_DELAY = EventLoop.MILLI;
+    private static final int MAX_SUBMISSIONS = 4;
 
-    /** One stream of requests. */
-    record Source(String team, Urgency urgency, double perSecond, int cost, long targetMillis) {}
+    /** A source of requests with random, exponentially distributed intervals. */
+    record TrafficSource(String team, Urgency urgency, double perSecond, int cost, long targetMillis) {}
 
-    /** What became of one source. */
+    /** Statistics of the requests of one source. */
     static final class Outcome {
-        int asked;
-        int inTarget;
+        int requestCount;
+        int withinTarget;
         long costServed;
         final List<Long> latencies = new ArrayList<>();
 
         double goodput() {
-            return (double) inTarget / Math.max(1, asked);
+            return (double) withinTarget / Math.max(1, requestCount);
         }
 
         long p99() {
@@ -70,25 +70,25 @@
         }
     }
 
-    private record Ask(Source source, long firstAskedNanos, int asks) {}
+    private record CallerRequest(TrafficSource source, long firstSubmittedNanos, int submissions) {}
 
-    final Map<Source, Outcome> outcomes = new HashMap<>();
+    final Map<TrafficSource, Outcome> outcomes = new HashMap<>();
     private final EventLoop loop;
-    private final boolean plain;
+    private final boolean baseline;
     private final long warmUpNanos;
-    private final Map<Long, Ask> asks = new HashMap<>();
+    private final Map<Long, CallerRequest> openRequests = new HashMap<>();
     private final List<Dispatcher> entries = new ArrayList<>();
     private final List<SidecarGate> gates = new ArrayList<>();
-    private final Map<String, Long> numbers = new HashMap<>();
-    private final Map<Long, GateRequest> atGate = new HashMap<>();
-    private final Map<Long, Long> attemptOf = new HashMap<>();
-    private final Map<Long, Integer> entryOf = new HashMap<>();
+    private final Map<String, Long> requestByAttempt = new HashMap<>();
+    private final Map<Long, GateRequest> gateRequests = new HashMap<>();
+    private final Map<Long, Long> attemptByNumber = new HashMap<>();
+    private final Map<Long, Integer> entryByNumber = new HashMap<>();
     private long nextId = 1;
     private long nextNumber = 1;
 
-    PolicyWorld(long seed, boolean plain, long warmUpNanos) {
+    PolicySimulation(long seed, boolean baseline, long warmUpNanos) {
         loop = new EventLoop(seed);
-        this.plain = plain;
+        this.baseline = baseline;
         this.warmUpNanos = warmUpNanos;
         Configuration c = Configuration.check(1, Map.of("r.toml", new Configuration.FileText(1, FILE)))
                 .value()
@@ -112,43 +112,43 @@
         }
     }
 
-    void run(List<Source> sources, int seconds) {
+    void run(List<TrafficSource> sources, int seconds) {
         sources.forEach(s -> {
             outcomes.put(s, new Outcome());
-            arrive(s, seconds * EventLoop.SECOND);
+            scheduleNextRequest(s, seconds * EventLoop.SECOND);
         });
         for (long t = 0; t < (seconds + 60) * EventLoop.SECOND; t += 100 * EventLoop.MILLI) {
-            loop.after(t, this::tick);
+            loop.schedule(t, this::tick);
         }
         loop.runUntil((seconds + 60) * EventLoop.SECOND);
     }
 
-    private void arrive(Source s, long end) {
+    private void scheduleNextRequest(TrafficSource s, long end) {
         long gap = (long) (-Math.log(1 - loop.random.nextDouble()) / s.perSecond() * EventLoop.SECOND);
-        loop.after(gap, () -> {
+        loop.schedule(gap, () -> {
             if (loop.now() < end) {
                 if (loop.now() >= warmUpNanos) {
-                    outcomes.get(s).asked++;
+                    outcomes.get(s).requestCount++;
                 }
-                ask(new Ask(s, loop.now(), 1));
-                arrive(s, end);
+                submit(new CallerRequest(s, loop.now(), 1));
+                scheduleNextRequest(s, end);
             }
         });
     }
 
-    private void ask(Ask a) {
+    private void submit(CallerRequest a) {
         long id = nextId++;
-        asks.put(id, a);
+        openRequests.put(id, a);
         int e = loop.random.nextInt(entries.size());
-        Source s = a.source();
+        TrafficSource s = a.source();
         int cost = Math.max(1, (int) (s.cost() * (0.5 + loop.random.nextDouble())));
-        entry(
+        handleAtEntry(
                 e,
                 new DispatchEvent.RequestArrived(new DispatchRequest(
                         id,
                         "roster",
-                        plain ? "all" : s.team(),
-                        plain ? Urgency.LIVE : s.urgency(),
+                        baseline ? "all" : s.team(),
+                        baseline ? Urgency.LIVE : s.urgency(),
                         cost,
                         true,
                         Optional.empty(),
@@ -157,104 +157,106 @@
 
     private void tick() {
         for (int i = 0; i < gates.size(); i++) {
-            gate(i, new GateEvent.Tick());
+            handleAtGate(i, new GateEvent.Tick());
             if (loop.now() % EventLoop.SECOND != 0) {
                 continue;
             }
             for (int e = 0; e < entries.size(); e++) {
-                entry(e, new DispatchEvent.ReportReceived(id(i), gates.get(i).report()));
+                handleAtEntry(
+                        e, new DispatchEvent.ReportReceived(id(i), gates.get(i).report()));
             }
         }
     }
 
-    private void entry(int e, DispatchEvent event) {
+    private void handleAtEntry(int e, DispatchEvent event) {
         for (DispatchAction a : entries.get(e).handle(event, loop.now())) {
             switch (a) {
-                case DispatchAction.SendAttempt s -> loop.after(NET, () -> arriveAtGate(e, s));
-                case DispatchAction.SendAnswer x -> completed(x.request());
-                case DispatchAction.RefuseRequest r -> refused(r.request(), r.verdict());
+                case DispatchAction.SendAttempt s -> loop.schedule(NETWORK_DELAY, () -> deliverToGate(e, s));
+                case DispatchAction.SendAnswer x -> recordCompletion(x.request());
+                case DispatchAction.RefuseRequest r -> handleRefusal(r.request(), r.verdict());
                 default -> {
-                    // No streams here.
+                    // The simulation has no streamed answers and no links.
                 }
             }
         }
     }
 
-    private void arriveAtGate(int e, DispatchAction.SendAttempt s) {
-        Ask a = asks.get(s.request());
+    private void deliverToGate(int e, DispatchAction.SendAttempt s) {
+        CallerRequest a = openRequests.get(s.request());
         long number = nextNumber++;
-        attemptOf.put(number, s.attempt());
-        entryOf.put(number, e);
-        Source src = a.source();
+        attemptByNumber.put(number, s.attempt());
+        entryByNumber.put(number, e);
+        TrafficSource src = a.source();
         QueuedRequest w = new QueuedRequest(
                 number,
-                plain ? Urgency.LIVE : src.urgency(),
-                plain ? "all" : src.team(),
+                baseline ? Urgency.LIVE : src.urgency(),
+                baseline ? "all" : src.team(),
                 src.cost(),
                 loop.now() + s.remaining().toNanos());
         GateRequest r = new GateRequest(w, true, Optional.empty(), Long.MAX_VALUE / 2);
-        atGate.put(number, r);
-        numbers.put(e + "-" + s.attempt(), s.request());
-        gate(s.upstream().port(), new GateEvent.AttemptArrived(r));
+        gateRequests.put(number, r);
+        requestByAttempt.put(e + "-" + s.attempt(), s.request());
+        handleAtGate(s.upstream().port(), new GateEvent.AttemptArrived(r));
     }
 
-    private void gate(int i, GateEvent event) {
+    private void handleAtGate(int i, GateEvent event) {
         for (GateAction a : gates.get(i).handle(event, loop.now(), loop.epochMillis())) {
             switch (a) {
                 case GateAction.StartCall s -> {
-                    int cost = atGate.get(s.id()).waiting().cost();
+                    int cost = gateRequests.get(s.id()).waiting().cost();
                     long nanos = (long) (cost * (0.5 + loop.random.nextDouble()) * EventLoop.MILLI);
-                    loop.after(
+                    loop.schedule(
                             nanos,
-                            () -> gate(
+                            () -> handleAtGate(
                                     i,
                                     new GateEvent.CallEnded(
                                             s.id(), new CallOutcome.Answered(200, 0, Optional.empty()))));
                 }
                 case GateAction.EndAttempt end -> {
-                    long attempt = attemptOf.remove(end.id());
-                    int e = entryOf.remove(end.id());
-                    GateRequest r = atGate.remove(end.id());
+                    long attempt = attemptByNumber.remove(end.id());
+                    int e = entryByNumber.remove(end.id());
+                    GateRequest r = gateRequests.remove(end.id());
                     SidecarReport load = gates.get(i).report();
                     if (end.verdict() instanceof Verdict.Completed) {
-                        served(e, attempt, r);
+                        recordCostServed(e, attempt, r);
                     }
-                    loop.after(NET, () -> {
-                        entry(e, new DispatchEvent.AnswerHead(attempt, 200, ""));
-                        entry(e, new DispatchEvent.AttemptEnded(attempt, end.verdict(), 0));
-                        entry(e, new DispatchEvent.ReportReceived(id(i), load));
+                    loop.schedule(NETWORK_DELAY, () -> {
+                        handleAtEntry(e, new DispatchEvent.AnswerHead(attempt, 200, ""));
+                        handleAtEntry(e, new DispatchEvent.AttemptEnded(attempt, end.verdict(), 0));
+                        handleAtEntry(e, new DispatchEvent.ReportReceived(id(i), load));
                     });
                 }
                 default -> {
-                    // No claims here.
+                    // The simulation has no claims.
                 }
             }
         }
     }
 
-    private void served(int e, long attempt, GateRequest r) {
-        Ask a = asks.get(numbers.remove(e + "-" + attempt));
+    private void recordCostServed(int e, long attempt, GateRequest r) {
+        CallerRequest a = openRequests.get(requestByAttempt.remove(e + "-" + attempt));
         if (loop.now() >= warmUpNanos) {
             outcomes.get(a.source()).costServed += r.waiting().cost();
         }
     }
 
-    private void completed(long request) {
-        Ask a = asks.remove(request);
-        if (a.firstAskedNanos() < warmUpNanos) {
+    private void recordCompletion(long request) {
+        CallerRequest a = openRequests.remove(request);
+        if (a.firstSubmittedNanos() < warmUpNanos) {
             return;
         }
-        long millis = (loop.now() - a.firstAskedNanos()) / EventLoop.MILLI;
+        long millis = (loop.now() - a.firstSubmittedNanos()) / EventLoop.MILLI;
         Outcome o = outcomes.get(a.source());
         o.latencies.add(millis);
-        o.inTarget += millis <= a.source().targetMillis() ? 1 : 0;
+        o.withinTarget += millis <= a.source().targetMillis() ? 1 : 0;
     }
 
-    private void refused(long request, Verdict verdict) {
-        Ask a = asks.remove(request);
-        if (a.asks() < MAX_ASKS && verdict instanceof Verdict.NotRun n) {
+    private void handleRefusal(long request, Verdict verdict) {
+        CallerRequest a = openRequests.remove(request);
+        if (a.submissions() < MAX_SUBMISSIONS && verdict instanceof Verdict.NotRun n) {
             long wait = Math.max(EventLoop.SECOND, n.retryAfter().toNanos());
-            loop.after(wait, () -> ask(new Ask(a.source(), a.firstAskedNanos(), a.asks() + 1)));
+            loop.schedule(
+                    wait, () -> submit(new CallerRequest(a.source(), a.firstSubmittedNanos(), a.submissions() + 1)));
         }
     }
 
