--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/ForwardedRequest.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/ForwardedRequest.java
@@ -70,7 +70,7 @@
         out.headers()
                 .set(PlatformHeaders.REMAINING_MS, Math.max(1, s.remaining().toMillis()));
         out.headers().set(PlatformHeaders.EXPECTED_UPSTREAM, s.upstream().id());
-        int rank = Math.clamp(s.admissionRank(), 0, PlatformHeaders.LAST_ADMISSION_RANK);
+        int rank = Math.clamp(s.admissionRank(), 0, PlatformHeaders.MAX_ADMISSION_RANK);
         out.headers().set(PlatformHeaders.ADMISSION_RANK, rank);
         resumeAfter.ifPresent(id -> out.headers().set(PlatformHeaders.LAST_EVENT_ID, id));
         return out;
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/TokenCounts.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/TokenCounts.java
@@ -16,13 +16,13 @@
     private static final Pattern PAIR = Pattern.compile("([0-9]{1,9}),([0-9]{1,9})");
 
     static TokenCounts read(HttpHeaders headers) {
-        String value = headers.get(PlatformHeaders.TOKENS);
+        String value = headers.get(PlatformHeaders.TOKEN_COUNTS);
         Matcher m = PAIR.matcher(value == null ? "" : value.trim());
         if (!m.matches()) {
             return new TokenCounts(0, 0);
         }
         int most = Integer.parseInt(m.group(2));
-        long estimate = ForwardedRequest.number(headers, PlatformHeaders.ESTIMATED_ANSWER_TOKENS)
+        long estimate = ForwardedRequest.number(headers, PlatformHeaders.ESTIMATED_COMPLETION_TOKENS)
                 .orElse((long) most);
         return new TokenCounts(Integer.parseInt(m.group(1)), (int) Math.min(most, estimate));
     }
--- a/gateway/src/main/java/org/citrontide/gateway/maps/MapShell.java
+++ b/gateway/src/main/java/org/citrontide/gateway/maps/MapShell.java
@@ -175,7 +175,7 @@
             Optional<MapEvent.ExpertCounts> counts = Optional.empty();
             if (reply.isPresent() && reply.get().status() == OK) {
                 try {
-                    counts = Optional.of(EngineCalls.counts(reply.get().body()));
+                    counts = Optional.of(EngineCalls.decodeCounts(reply.get().body()));
                 } catch (DecodeException e) {
                     unreadable(id, e);
                 }
@@ -189,7 +189,7 @@
             MapEvent.ExpertsRead listed = new MapEvent.ExpertsRead(id, 0, Optional.empty());
             if (reply.isPresent() && reply.get().status() == OK) {
                 try {
-                    listed = EngineCalls.experts(id, reply.get().body());
+                    listed = EngineCalls.decodeExperts(id, reply.get().body());
                 } catch (DecodeException e) {
                     unreadable(id, e);
                 }
@@ -199,8 +199,9 @@
     }
 
     private void send(String service, MapAction.SendOrder s) {
-        call(s.upstream(), EngineCalls.order(s.order(), s.epoch()), ORDER_TIMEOUT, reply -> {
-            OrderOutcome r = reply.map(x -> EngineCalls.reply(x.status())).orElse(OrderOutcome.UNANSWERED);
+        call(s.upstream(), EngineCalls.sendOrder(s.order(), s.epoch()), ORDER_TIMEOUT, reply -> {
+            OrderOutcome r =
+                    reply.map(x -> EngineCalls.orderOutcome(x.status())).orElse(OrderOutcome.UNANSWERED);
             handle(service, new MapEvent.OrderEnded(s.upstream(), s.order(), r));
         });
     }
@@ -221,7 +222,7 @@
             loop.execute(() -> then.accept(Optional.empty()));
             return;
         }
-        caller.call(new InetSocketAddress(u.host(), u.port()), call.onlyFor(id), timeout)
+        caller.call(new InetSocketAddress(u.host(), u.port()), call.withExpectedUpstream(id), timeout)
                 .whenComplete((reply, failure) -> then.accept(Optional.ofNullable(reply)));
     }
 
--- a/gateway/src/main/java/org/citrontide/gateway/store/GatewayRegister.java
+++ b/gateway/src/main/java/org/citrontide/gateway/store/GatewayRegister.java
@@ -68,13 +68,13 @@
     }
 
     private void register() {
-        caller.call(store, MetadataStore.lease(TIME), CALL_TIMEOUT).whenComplete((reply, failure) -> {
+        caller.call(store, MetadataStore.grantLease(TIME), CALL_TIMEOUT).whenComplete((reply, failure) -> {
             if (failure != null || reply.status() != OK) {
                 retry(failure != null ? failure.getMessage() : "status " + reply.status());
                 return;
             }
             try {
-                write(MetadataStore.leaseNumber(reply.body()));
+                write(MetadataStore.decodeLeaseId(reply.body()));
             } catch (DecodeException e) {
                 retry(e.getMessage());
             }
@@ -100,8 +100,8 @@
     }
 
     private void renew(long lease) {
-        caller.call(store, MetadataStore.renew(lease), CALL_TIMEOUT).whenComplete((reply, failure) -> {
-            if (failure == null && reply.status() == MetadataStore.STATUS_MISSING) {
+        caller.call(store, MetadataStore.renewLease(lease), CALL_TIMEOUT).whenComplete((reply, failure) -> {
+            if (failure == null && reply.status() == MetadataStore.STATUS_NOT_FOUND) {
                 retry("lease ended");
             } else {
                 renewLater(lease);
--- a/gateway/src/main/java/org/citrontide/gateway/store/Leadership.java
+++ b/gateway/src/main/java/org/citrontide/gateway/store/Leadership.java
@@ -125,14 +125,14 @@
         }
         applying = true;
         lease.requestSent(System.nanoTime(), System.currentTimeMillis());
-        caller.call(store, MetadataStore.lease(TIME), CALL_TIMEOUT).whenComplete((reply, failure) -> {
+        caller.call(store, MetadataStore.grantLease(TIME), CALL_TIMEOUT).whenComplete((reply, failure) -> {
             applying = false;
             if (failure != null || reply.status() != OK) {
                 retry();
                 return;
             }
             try {
-                write(MetadataStore.leaseNumber(reply.body()));
+                write(MetadataStore.decodeLeaseId(reply.body()));
             } catch (DecodeException e) {
                 LOG.warn("lease-unreadable").with("why", e.getMessage()).write();
                 retry();
@@ -153,7 +153,7 @@
                 return;
             }
             try {
-                lead(number, MetadataStore.revision(reply.body()));
+                lead(number, MetadataStore.decodeRevision(reply.body()));
             } catch (DecodeException e) {
                 LOG.warn("lease-unreadable").with("why", e.getMessage()).write();
                 end(number);
@@ -186,11 +186,11 @@
         }
         long number = leaseNumber.orElseThrow();
         lease.requestSent(System.nanoTime(), System.currentTimeMillis());
-        caller.call(store, MetadataStore.renew(number), CALL_TIMEOUT).whenComplete((reply, failure) -> {
+        caller.call(store, MetadataStore.renewLease(number), CALL_TIMEOUT).whenComplete((reply, failure) -> {
             if (!leads || leaseNumber.isEmpty() || leaseNumber.getAsLong() != number) {
                 return;
             }
-            if (failure == null && reply.status() == MetadataStore.STATUS_MISSING) {
+            if (failure == null && reply.status() == MetadataStore.STATUS_NOT_FOUND) {
                 depose("lease ended");
                 return;
             }
@@ -212,7 +212,7 @@
 
     private void end(long number) {
         leaseNumber = OptionalLong.empty();
-        caller.call(store, MetadataStore.endLease(number), CALL_TIMEOUT).whenComplete((reply, failure) -> {
+        caller.call(store, MetadataStore.revokeLease(number), CALL_TIMEOUT).whenComplete((reply, failure) -> {
             if (failure != null) {
                 LOG.info("lease-end-unanswered").with("lease", number).write();
             }
--- a/gateway/src/main/java/org/citrontide/gateway/store/StoreMirror.java
+++ b/gateway/src/main/java/org/citrontide/gateway/store/StoreMirror.java
@@ -157,9 +157,9 @@
 
     private void readAll(String after, List<Item> items) {
         call(MetadataStore.range(ALL_KEYS, after), body -> {
-            MetadataStore.Page page = MetadataStore.page(body);
+            MetadataStore.Page page = MetadataStore.decodePage(body);
             items.addAll(page.items());
-            if (page.truncated() && !page.items().isEmpty()) {
+            if (page.isTruncated() && !page.items().isEmpty()) {
                 readAll(page.items().getLast().key(), items);
                 return;
             }
@@ -181,7 +181,7 @@
                     return;
                 }
                 try {
-                    takeFromPeer(peer, MetadataStore.page(reply.body()));
+                    takeFromPeer(peer, MetadataStore.decodePage(reply.body()));
                 } catch (DecodeException e) {
                     LOG.warn("peer-unreadable")
                             .with("peer", peer)
@@ -215,7 +215,7 @@
             if (i.key().equals(ConfigurationDecoder.KEY)) {
                 configured(i);
             }
-            if (i.key().startsWith(UpstreamDecoder.PREFIX)) {
+            if (i.key().startsWith(UpstreamDecoder.KEY_PREFIX)) {
                 decode(i).ifPresent(upstreams::add);
             }
         }
@@ -227,7 +227,7 @@
 
     private void watch(long after) {
         call(MetadataStore.watch(ALL_KEYS, after, isAway ? Duration.ZERO : WAIT), body -> {
-            MetadataStore.Changes changes = MetadataStore.changes(body);
+            MetadataStore.Changes changes = MetadataStore.decodeChanges(body);
             changes.changes().forEach(this::changed);
             members.expire(System.nanoTime());
             if (!changes.changes().isEmpty()) {
@@ -240,7 +240,7 @@
 
     private void keep(Item i) {
         if (i.key().equals(ConfigurationDecoder.KEY)
-                || i.key().startsWith(UpstreamDecoder.PREFIX)
+                || i.key().startsWith(UpstreamDecoder.KEY_PREFIX)
                 || i.key().startsWith(GatewayRegister.PREFIX)) {
             copy.put(i.key(), i);
         }
@@ -257,10 +257,10 @@
         if (c.key().equals(Leadership.KEY)) {
             listener.leaderKey(c.item().isPresent());
         }
-        if (!c.key().startsWith(UpstreamDecoder.PREFIX)) {
+        if (!c.key().startsWith(UpstreamDecoder.KEY_PREFIX)) {
             return;
         }
-        String id = c.key().substring(UpstreamDecoder.PREFIX.length());
+        String id = c.key().substring(UpstreamDecoder.KEY_PREFIX.length());
         Optional<ListedUpstream> upstream = c.item().flatMap(this::decode);
         if (upstream.isPresent()) {
             noteDraining(upstream.get());
@@ -329,7 +329,7 @@
                 away(failure.getMessage());
                 return;
             }
-            if (reply.status() == MetadataStore.STATUS_HISTORY_GONE) {
+            if (reply.status() == MetadataStore.STATUS_COMPACTED) {
                 LOG.info("store-history-gone")
                         .with("revision", revision.orElse(0L))
                         .write();
--- a/gateway/src/main/java/org/citrontide/gateway/upstream/AnswerClassifier.java
+++ b/gateway/src/main/java/org/citrontide/gateway/upstream/AnswerClassifier.java
@@ -24,7 +24,7 @@
         if (notRun && head.status() != BAD_REQUEST) {
             return new AttemptOutcome.Rejected(cause(head), retryAfterMillis(h));
         }
-        if (!h.contains(PlatformHeaders.ANSWER_PROOF) && head.status() != BAD_REQUEST) {
+        if (!h.contains(PlatformHeaders.RESPONSE_STAMP) && head.status() != BAD_REQUEST) {
             return new AttemptOutcome.Broken(Reason.ANSWER_BROKEN);
         }
         return head.status() >= SERVER_ERROR
@@ -36,7 +36,7 @@
         if (head.status() == MISDIRECTED) {
             return Cause.MISDIRECTED;
         }
-        return head.headers().contains(PlatformHeaders.MEMBER_AT_FAULT) ? Cause.GROUP_BROKEN : Cause.FULL;
+        return head.headers().contains(PlatformHeaders.FAULTY_MEMBER) ? Cause.GROUP_BROKEN : Cause.FULL;
     }
 
     private static Optional<Long> retryAfterMillis(HttpHeaders h) {
--- a/gateway/src/main/java/org/citrontide/gateway/upstream/ReportReader.java
+++ b/gateway/src/main/java/org/citrontide/gateway/upstream/ReportReader.java
@@ -40,7 +40,7 @@
     public void read(ListedUpstream u, Consumer<Optional<RankReport>> then) {
         caller.call(
                         new InetSocketAddress(u.host(), u.port()),
-                        EngineCalls.readReport().onlyFor(u.id()),
+                        EngineCalls.readReport().withExpectedUpstream(u.id()),
                         TIMEOUT)
                 .whenComplete((reply, failure) -> then.accept(
                         Optional.ofNullable(reply).filter(r -> r.status() == OK).flatMap(r -> decode(u, r))));
@@ -48,7 +48,7 @@
 
     private static Optional<RankReport> decode(ListedUpstream u, HttpReply reply) {
         try {
-            return EngineCalls.report(reply.body());
+            return EngineCalls.decodeReport(reply.body());
         } catch (DecodeException e) {
             LOG.warn("engine-answer-unreadable")
                     .with("upstream", u.id())
--- a/gateway/src/main/java/org/citrontide/gateway/upstream/UpstreamConnection.java
+++ b/gateway/src/main/java/org/citrontide/gateway/upstream/UpstreamConnection.java
@@ -147,7 +147,7 @@
 
     private void take(UpstreamAttempt a, byte[] data) {
         boolean isSuccess = a.head().orElseThrow().status() / 100 == 2
-                && a.head().get().headers().contains(PlatformHeaders.ANSWER_PROOF);
+                && a.head().get().headers().contains(PlatformHeaders.RESPONSE_STAMP);
         if (a.isStreaming() && isSuccess) {
             pool.listener().streamed(a, data);
             return;
--- a/gateway/src/test/java/org/citrontide/gateway/upstream/AnswerClassifierTest.java
+++ b/gateway/src/test/java/org/citrontide/gateway/upstream/AnswerClassifierTest.java
@@ -33,7 +33,7 @@
     private static AnswerHead head(int status, boolean namesMember) {
         HttpHeaders headers = new DefaultHttpHeaders().set(PlatformHeaders.NOT_RUN, "1");
         if (namesMember) {
-            headers.set(PlatformHeaders.MEMBER_AT_FAULT, "i-1");
+            headers.set(PlatformHeaders.FAULTY_MEMBER, "i-1");
         }
         return new AnswerHead(status, headers);
     }
