--- a/dist/src/test/java/org/citrontide/dist/Deployment.java
+++ b/dist/src/test/java/org/citrontide/dist/Deployment.java
@@ -42,7 +42,7 @@
     }
 
     int port(String name) {
-        return ports.computeIfAbsent(name, n -> TestPorts.next());
+        return ports.computeIfAbsent(name, n -> TestPorts.allocate());
     }
 
     String address(String name) {
--- a/fakes/src/main/java/org/citrontide/fakes/net/TestPorts.java
+++ b/fakes/src/main/java/org/citrontide/fakes/net/TestPorts.java
@@ -8,35 +8,35 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Chooses ports for processes that bind them later.
+ * Allocates TCP ports for processes that bind them later.
  *
- * <p>Invariant: a port lies outside the range from which the system takes ports for outgoing connections, and is given
- * out once in a process. Safe for use by many threads.
+ * <p>Invariant: a port lies outside the range from which the system takes ephemeral ports, and is allocated at most
+ * once per process. Thread-safe.
  */
 public final class TestPorts {
-    private static final int FIRST = 10_000;
-    // Linux takes outgoing ports from 32768 on.
-    private static final int END = 32_000;
-    private static final int TRIES = 200;
-    private static final Set<Integer> GIVEN = new HashSet<>();
+    private static final int MIN_PORT = 10_000;
+    // Linux allocates ephemeral ports from 32768 by default.
+    private static final int END_PORT = 32_000;
+    private static final int MAX_ATTEMPTS = 200;
+    private static final Set<Integer> ALLOCATED = new HashSet<>();
 
     private TestPorts() {}
 
     /**
-     * Chooses a port on which nothing listens.
+     * Allocates a port on which no process listens.
      *
-     * @return TCP port
+     * @return the port
      * @throws IllegalStateException if no free port is found
      */
-    public static synchronized int next() {
-        for (int i = 0; i < TRIES; i++) {
-            int port = ThreadLocalRandom.current().nextInt(FIRST, END);
-            if (!GIVEN.contains(port) && isFree(port)) {
-                GIVEN.add(port);
+    public static synchronized int allocate() {
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
+            int port = ThreadLocalRandom.current().nextInt(MIN_PORT, END_PORT);
+            if (!ALLOCATED.contains(port) && isFree(port)) {
+                ALLOCATED.add(port);
                 return port;
             }
         }
-        throw new IllegalStateException("no free port in " + TRIES + " tries");
+        throw new IllegalStateException("found no free port in " + MAX_ATTEMPTS + " attempts");
     }
 
     private static boolean isFree(int port) {
--- a/fakes/src/main/java/org/citrontide/fakes/platform/FakeHttpUpstream.java
+++ b/fakes/src/main/java/org/citrontide/fakes/platform/FakeHttpUpstream.java
@@ -15,17 +15,17 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * An upstream that writes whatever bytes its script says, so that tests can send what no HTTP library would. Safe for
- * use by many threads.
+ * A fake upstream that writes the exact bytes that its script specifies, so that tests can send responses that an HTTP
+ * library would not produce. Thread-safe.
  */
 public final class FakeHttpUpstream implements AutoCloseable {
     private final ServerSocket socket;
     private final String id;
     private final Script script;
-    private final List<Received> received = new CopyOnWriteArrayList<>();
-    private final List<Socket> open = new CopyOnWriteArrayList<>();
+    private final List<ReceivedRequest> requests = new CopyOnWriteArrayList<>();
+    private final List<Socket> connections = new CopyOnWriteArrayList<>();
 
-    /** Answers requests. Implementations are safe for use by many threads. */
+    /** Answers requests. Implementations are thread-safe. */
     @FunctionalInterface
     public interface Script {
 
@@ -33,27 +33,27 @@
          * Answers one request.
          *
          * @param request the request
-         * @param reply where the answer goes
-         * @throws IOException if the connection is to end
-         * @throws InterruptedException if the upstream is closed
+         * @param reply writer of the response
+         * @throws IOException to close the connection
+         * @throws InterruptedException if the thread is interrupted
          */
-        void answer(Received request, Reply reply) throws IOException, InterruptedException;
+        void answer(ReceivedRequest request, Reply reply) throws IOException, InterruptedException;
     }
 
     /**
-     * A request as it arrived. Immutable.
+     * A request that was received. Immutable.
      *
-     * @param line its first line
-     * @param headers header fields by name in lower case
-     * @param body the body
+     * @param requestLine request line
+     * @param headers header fields by lowercase name
+     * @param body request body
      */
-    public record Received(String line, Map<String, String> headers, String body) {
+    public record ReceivedRequest(String requestLine, Map<String, String> headers, String body) {
 
         /**
-         * Reads a header.
+         * Returns the value of a header field.
          *
-         * @param name name of the field in any case
-         * @return its value, empty if it is absent
+         * @param name case-insensitive name of the field
+         * @return the value, empty if the field is absent
          */
         public String header(String name) {
             return headers.getOrDefault(name.toLowerCase(Locale.ROOT), "");
@@ -61,10 +61,10 @@
     }
 
     /**
-     * Starts an upstream.
+     * Starts an upstream on a free port.
      *
-     * @param id its identity
-     * @param script what it answers
+     * @param id identity of the upstream
+     * @param script script that answers the requests
      * @throws IOException if no port can be bound
      */
     public FakeHttpUpstream(String id, Script script) throws IOException {
@@ -75,11 +75,11 @@
     }
 
     /**
-     * Returns the entry under which it registers itself.
+     * Returns the store entry with which this upstream registers itself.
      *
-     * @param service name of its service
+     * @param service name of the service
      * @param state {@code ready} or {@code draining}
-     * @return JSON
+     * @return JSON document
      */
     public String entry(String service, String state) {
         return "{\"service\":\"" + service + "\",\"address\":\"127.0.0.1:" + socket.getLocalPort()
@@ -88,7 +88,7 @@
     }
 
     /**
-     * Returns its identity.
+     * Returns the identity of this upstream.
      *
      * @return the identity
      */
@@ -97,92 +97,92 @@
     }
 
     /**
-     * Returns the requests so far.
+     * Returns the requests received so far.
      *
-     * @return requests in order
+     * @return live view of the requests in order of arrival
      */
-    public List<Received> received() {
-        return received;
+    public List<ReceivedRequest> requests() {
+        return requests;
     }
 
     /**
-     * Returns the connections that are open.
+     * Returns the number of open connections.
      *
-     * @return count
+     * @return number of connections that this upstream has not closed
      */
     public long openConnections() {
-        return open.stream().filter(s -> !s.isClosed()).count();
+        return connections.stream().filter(s -> !s.isClosed()).count();
     }
 
     @Override
     public void close() throws IOException {
         socket.close();
-        for (Socket s : open) {
+        for (Socket s : connections) {
             s.close();
         }
     }
 
-    /** Writes one answer. Confined to its connection's thread. */
+    /** Writes one response. Confined to the thread of its connection. */
     public final class Reply {
         private final Socket connection;
         private final OutputStream out;
-        private final Received request;
+        private final ReceivedRequest request;
 
-        private Reply(Socket connection, Received request) throws IOException {
+        private Reply(Socket connection, ReceivedRequest request) throws IOException {
             this.connection = connection;
             this.out = connection.getOutputStream();
             this.request = request;
         }
 
         /**
-         * Writes text as it is.
+         * Writes text without any framing.
          *
-         * @param text the bytes
-         * @throws IOException if the caller has gone
+         * @param text the text
+         * @throws IOException if the caller has closed the connection
          */
-        public void raw(String text) throws IOException {
+        public void write(String text) throws IOException {
             out.write(text.getBytes(StandardCharsets.UTF_8));
             out.flush();
         }
 
         /**
-         * Writes the head of an answer that echoes the attempt and is stamped.
+         * Writes a response head that echoes the attempt identifier and has a response stamp.
          *
-         * @param status status line without the version
-         * @param more further header lines, each ended
-         * @throws IOException if the caller has gone
+         * @param status status code and reason phrase
+         * @param extraHeaders additional header lines, each terminated by CRLF
+         * @throws IOException if the caller has closed the connection
          */
-        public void head(String status, String more) throws IOException {
-            raw("HTTP/1.1 " + status + "\r\nCitrontide-Attempt-Id: " + request.header("Citrontide-Attempt-Id")
-                    + "\r\nCitrontide-Response-Stamp: stamp-of-" + id + "\r\n" + more + "\r\n");
+        public void writeHead(String status, String extraHeaders) throws IOException {
+            write("HTTP/1.1 " + status + "\r\nCitrontide-Attempt-Id: " + request.header("Citrontide-Attempt-Id")
+                    + "\r\nCitrontide-Response-Stamp: stamp-of-" + id + "\r\n" + extraHeaders + "\r\n");
         }
 
         /**
-         * Writes a whole answer.
+         * Writes a complete response.
          *
-         * @param status status line without the version
-         * @param body the body
-         * @throws IOException if the caller has gone
+         * @param status status code and reason phrase
+         * @param body response body in ASCII
+         * @throws IOException if the caller has closed the connection
          */
-        public void whole(String status, String body) throws IOException {
-            head(status, "Keep-Alive: timeout=5\r\nContent-Length: " + body.length() + "\r\n");
-            raw(body);
+        public void writeResponse(String status, String body) throws IOException {
+            writeHead(status, "Keep-Alive: timeout=5\r\nContent-Length: " + body.length() + "\r\n");
+            write(body);
         }
 
         /**
-         * Writes a chunk of a stream.
+         * Writes one chunk of a chunked response.
          *
-         * @param text its bytes
-         * @throws IOException if the caller has gone
+         * @param text content of the chunk in ASCII
+         * @throws IOException if the caller has closed the connection
          */
-        public void chunk(String text) throws IOException {
-            raw(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+        public void writeChunk(String text) throws IOException {
+            write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
         }
 
         /**
-         * Ends the connection without ado.
+         * Resets the connection.
          *
-         * @throws IOException if it can't be ended
+         * @throws IOException if the connection can't be closed
          */
         public void reset() throws IOException {
             connection.setSoLinger(true, 0);
@@ -192,11 +192,11 @@
         /**
          * Waits until the caller closes the connection.
          *
-         * @throws IOException if it breaks otherwise
+         * @throws IOException if the connection breaks
          */
         public void awaitClose() throws IOException {
             while (connection.getInputStream().read() >= 0) {
-                // Bytes of a further request are of no interest.
+                // Discards the bytes of further requests.
             }
             connection.close();
         }
@@ -206,7 +206,7 @@
         while (!socket.isClosed()) {
             try {
                 Socket s = socket.accept();
-                open.add(s);
+                connections.add(s);
                 Thread.ofVirtual().start(() -> serve(s));
             } catch (IOException e) {
                 return;
@@ -218,35 +218,35 @@
         try (s) {
             InputStream in = new BufferedInputStream(s.getInputStream());
             while (true) {
-                Received r = read(in);
-                received.add(r);
+                ReceivedRequest r = readRequest(in);
+                requests.add(r);
                 script.answer(r, new Reply(s, r));
             }
         } catch (IOException e) {
-            // The connection ended, by the caller or by the script.
+            // The caller or the script closed the connection.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private static Received read(InputStream in) throws IOException {
-        String line = line(in);
+    private static ReceivedRequest readRequest(InputStream in) throws IOException {
+        String requestLine = readLine(in);
         Map<String, String> headers = new TreeMap<>();
-        for (String h = line(in); !h.isEmpty(); h = line(in)) {
+        for (String h = readLine(in); !h.isEmpty(); h = readLine(in)) {
             int colon = h.indexOf(':');
             headers.put(
                     h.substring(0, colon).toLowerCase(Locale.ROOT),
                     h.substring(colon + 1).trim());
         }
         byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
-        return new Received(line, headers, new String(body, StandardCharsets.UTF_8));
+        return new ReceivedRequest(requestLine, headers, new String(body, StandardCharsets.UTF_8));
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder b = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0) {
-                throw new IOException("the connection ended");
+                throw new IOException("connection closed while reading a request");
             }
             if (c != '\r') {
                 b.append((char) c);
--- a/fakes/src/main/java/org/citrontide/fakes/platform/FakePlatformStore.java
+++ b/fakes/src/main/java/org/citrontide/fakes/platform/FakePlatformStore.java
@@ -15,27 +15,27 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.citrontide.fakes.http.FakeServer;
 
-/** A stand-in for the platform's metadata store: items, watches, transactions and leases. Safe for many threads. */
+/** A fake of the platform's metadata store with items, watches, transactions and leases. Thread-safe. */
 public final class FakePlatformStore implements AutoCloseable {
     private static final int OK = 200;
-    private static final int MISSING = 404;
+    private static final int NOT_FOUND = 404;
     private static final int GONE = 410;
-    private static final int CONDITION_FAILED = 412;
+    private static final int PRECONDITION_FAILED = 412;
     private static final int UNAVAILABLE = 503;
-    private static final long POLL_MS = 5;
+    private static final long POLL_INTERVAL_MS = 5;
 
-    /** A change of a key; no value means that it was removed. */
+    /** A change of a key. The value is Base64, and empty if the key was removed. */
     private record Change(String key, Optional<String> value, long revision, long lease) {}
 
-    /** How the store behaves. */
+    /** Availability of the store. */
     public enum Mode {
-        /** It serves. */
+        /** Serves requests. */
         UP,
-        /** It answers each call with 503. */
+        /** Answers each request with 503. */
         REFUSING,
-        /** It closes each connection without an answer. */
-        SILENT,
-        /** It takes each call and never answers. */
+        /** Closes each connection without a response. */
+        DISCONNECTING,
+        /** Accepts each request and delays the response until the mode changes. */
         HANGING
     }
 
@@ -44,13 +44,13 @@
     private final List<Change> history = new ArrayList<>();
     private final FakeServer server;
     private long revision = 1;
-    private long forgottenUpTo;
+    private long compactedRevision;
     private long lastLease;
     private Mode mode = Mode.UP;
-    private int reads;
+    private int readCount;
 
     /**
-     * Starts the store.
+     * Starts the store on a free port.
      *
      * @throws IOException if no port can be bound
      */
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Returns the port bound.
+     * Returns the TCP port on which the store listens.
      *
      * @return TCP port
      */
@@ -68,28 +68,28 @@
     }
 
     /**
-     * Returns the reads and watches so far, also those that were refused.
+     * Returns the number of reads and watches so far, including those that failed.
      *
-     * @return count
+     * @return number of GET requests
      */
-    public synchronized int reads() {
-        return reads;
+    public synchronized int readCount() {
+        return readCount;
     }
 
     /**
-     * Changes how it behaves.
+     * Sets the mode.
      *
-     * @param m the new way
+     * @param m the new mode
      */
     public synchronized void setMode(Mode m) {
         mode = m;
     }
 
     /**
-     * Writes an item, as the operator and the upstreams do.
+     * Writes an item without a lease and without a precondition, as the operator and the upstreams do.
      *
-     * @param key its key
-     * @param text its value
+     * @param key key of the item
+     * @param text value of the item
      */
     public synchronized void put(String key, String text) {
         write(key, Optional.of(Base64.getEncoder().encodeToString(text.getBytes(StandardCharsets.UTF_8))), 0);
@@ -98,23 +98,23 @@
     /**
      * Removes an item.
      *
-     * @param key its key
+     * @param key key of the item
      */
     public synchronized void remove(String key) {
         write(key, Optional.empty(), 0);
     }
 
-    /** Forgets all changes so far, so that watches from before must read anew. */
+    /** Discards the history. A watch from an earlier revision fails, and its client must list the items again. */
     public synchronized void compact() {
-        forgottenUpTo = revision;
+        compactedRevision = revision;
         history.clear();
     }
 
     /**
-     * Says whether a key exists.
+     * Returns whether a key exists.
      *
      * @param key the key
-     * @return true if it does
+     * @return whether the key exists
      */
     public synchronized boolean has(String key) {
         return items.containsKey(key);
@@ -127,16 +127,16 @@
 
     private FakeServer.Reply serve(FakeServer.Call call) throws IOException, InterruptedException {
         synchronized (this) {
-            reads += call.target().startsWith("GET ") ? 1 : 0;
+            readCount += call.target().startsWith("GET ") ? 1 : 0;
             if (mode == Mode.REFUSING) {
                 return FakeServer.Reply.status(UNAVAILABLE);
             }
-            if (mode == Mode.SILENT) {
-                throw new IOException("the store is silent");
+            if (mode == Mode.DISCONNECTING) {
+                throw new IOException("fake store is disconnecting");
             }
         }
         while (isHanging()) {
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
         String target = call.target();
         if (target.equals("GET /-/kv-range")) {
@@ -164,24 +164,24 @@
     }
 
     private FakeServer.Reply watch(String prefix, long after, long waitMs) throws InterruptedException {
-        long end = System.nanoTime() + waitMs * 1_000_000;
+        long deadlineNanos = System.nanoTime() + waitMs * 1_000_000;
         while (true) {
             synchronized (this) {
-                if (after < forgottenUpTo) {
+                if (after < compactedRevision) {
                     return FakeServer.Reply.status(GONE);
                 }
-                List<Change> news = history.stream()
+                List<Change> newChanges = history.stream()
                         .filter(c -> c.revision() > after && c.key().startsWith(prefix))
                         .toList();
-                if (!news.isEmpty() || System.nanoTime() > end) {
+                if (!newChanges.isEmpty() || System.nanoTime() > deadlineNanos) {
                     ObjectNode body = mapper.createObjectNode();
                     ArrayNode events = body.putArray("events");
-                    news.forEach(c -> add(events, c));
+                    newChanges.forEach(c -> add(events, c));
                     body.put("at", revision);
                     return FakeServer.Reply.json(body.toString());
                 }
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
@@ -189,7 +189,7 @@
         for (JsonNode p : t.path("precondition")) {
             Change c = items.get(p.path("key").asText());
             if ((c == null ? 0 : c.revision()) != p.path("revision").asLong()) {
-                return FakeServer.Reply.status(CONDITION_FAILED);
+                return FakeServer.Reply.status(PRECONDITION_FAILED);
             }
         }
         for (JsonNode p : t.path("puts")) {
@@ -214,15 +214,15 @@
             return FakeServer.Reply.json("{\"ttl_ms\":2000}");
         }
         if (target.startsWith("DELETE /-/kv-lease-end/")) {
-            long ended = Long.parseLong(target.substring(target.lastIndexOf('/') + 1));
+            long endedLease = Long.parseLong(target.substring(target.lastIndexOf('/') + 1));
             items.values().stream()
-                    .filter(c -> c.lease() == ended)
+                    .filter(c -> c.lease() == endedLease)
                     .map(Change::key)
                     .toList()
                     .forEach(k -> write(k, Optional.empty(), 0));
             return FakeServer.Reply.status(OK);
         }
-        return FakeServer.Reply.status(MISSING);
+        return FakeServer.Reply.status(NOT_FOUND);
     }
 
     private void write(String key, Optional<String> value, long lease) {
--- a/gateway/src/test/java/org/citrontide/gateway/GatewayHarness.java
+++ b/gateway/src/test/java/org/citrontide/gateway/GatewayHarness.java
@@ -24,9 +24,9 @@
 abstract class GatewayHarness {
     private static final Duration PATIENCE = Duration.ofSeconds(20);
 
-    final int callerPort = TestPorts.next();
-    final int adminPort = TestPorts.next();
-    final int peerPort = TestPorts.next();
+    final int callerPort = TestPorts.allocate();
+    final int adminPort = TestPorts.allocate();
+    final int peerPort = TestPorts.allocate();
     final List<FakeHttpUpstream> upstreams = new ArrayList<>();
     FakePlatformStore store;
     GatewayDaemon daemon;
@@ -39,7 +39,7 @@
                 adminPort,
                 store,
                 Optional.empty(),
-                List.of(local(TestPorts.next()), local(TestPorts.next()), local(peerPort)));
+                List.of(local(TestPorts.allocate()), local(TestPorts.allocate()), local(peerPort)));
         daemon.start();
     }
 
@@ -85,8 +85,8 @@
         upstreams.add(u);
         store.put("servers/" + id, u.entry("svc", "ready"));
         store.put("op/config", configuration(7));
-        long before = store.reads();
-        await("the gateway knows " + id, () -> store.reads() >= before + 3 && readiness() == 200);
+        long before = store.readCount();
+        await("the gateway knows " + id, () -> store.readCount() >= before + 3 && readiness() == 200);
         return u;
     }
 
--- a/gateway/src/test/java/org/citrontide/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/citrontide/gateway/GatewayTest.java
@@ -22,7 +22,7 @@
 
     @Test
     void anAnswerComesBackWholeAndTheRequestGoesOutAsItShould() throws IOException {
-        FakeHttpUpstream u = serve("a", (r, reply) -> reply.whole("200 OK", "hello"));
+        FakeHttpUpstream u = serve("a", (r, reply) -> reply.writeResponse("200 OK", "hello"));
         try (RawCaller c = new RawCaller(callerPort)) {
             c.request("POST", "/book/x?y=1", "id-1", "turn");
             RawCaller.Answer answer = c.read();
@@ -30,8 +30,8 @@
             assertEquals("hello", answer.body());
             assertEquals("stamp-of-a", answer.header("Citrontide-Response-Stamp"));
         }
-        FakeHttpUpstream.Received r = u.received().getFirst();
-        assertEquals("POST /book/x?y=1 HTTP/1.1", r.line());
+        FakeHttpUpstream.ReceivedRequest r = u.requests().getFirst();
+        assertEquals("POST /book/x?y=1 HTTP/1.1", r.requestLine());
         assertEquals("turn", r.body());
         assertEquals("rangers", r.header("Citrontide-Tenant"));
         assertEquals("", r.header("Authorization"), "the key must not be passed on");
@@ -43,7 +43,7 @@
 
     @Test
     void aRequestThatMayNotPassIsRefusedAndReachesNoUpstream() throws IOException {
-        FakeHttpUpstream u = serve("a", (r, reply) -> reply.whole("200 OK", "hello"));
+        FakeHttpUpstream u = serve("a", (r, reply) -> reply.writeResponse("200 OK", "hello"));
         try (RawCaller c = new RawCaller(callerPort)) {
             c.request("GET", "/nowhere/", "id-1", "");
             assertEquals(404, c.read().status());
@@ -52,7 +52,7 @@
             c.write("GET /look/ HTTP/1.1\r\n\r\n");
             assertEquals(400, c.read().status());
         }
-        assertEquals(List.of(), u.received());
+        assertEquals(List.of(), u.requests());
     }
 
     @Test
@@ -67,8 +67,8 @@
     @Test
     void aSecondAnswerOnAConnectionBelongsToNobody() throws IOException {
         serve("a", (r, reply) -> {
-            reply.whole("200 OK", "answer-to-" + r.header("Citrontide-Attempt-Id"));
-            reply.whole("200 OK", "stray-after-" + r.header("Citrontide-Attempt-Id"));
+            reply.writeResponse("200 OK", "answer-to-" + r.header("Citrontide-Attempt-Id"));
+            reply.writeResponse("200 OK", "stray-after-" + r.header("Citrontide-Attempt-Id"));
         });
         try (RawCaller c = new RawCaller(callerPort)) {
             for (int i = 1; i <= 20; i++) {
@@ -81,9 +81,9 @@
     @Test
     void anAnswerOfAnotherRequestIsSkipped() throws IOException {
         serve("a", (r, reply) -> {
-            reply.raw("HTTP/1.1 200 OK\r\nCitrontide-Attempt-Id: other\r\nCitrontide-Response-Stamp: s\r\n"
+            reply.write("HTTP/1.1 200 OK\r\nCitrontide-Attempt-Id: other\r\nCitrontide-Response-Stamp: s\r\n"
                     + "Content-Length: 5\r\n\r\nwrong");
-            reply.whole("200 OK", "right");
+            reply.writeResponse("200 OK", "right");
         });
         try (RawCaller c = new RawCaller(callerPort)) {
             c.request("POST", "/book/", "id-1", "");
@@ -94,8 +94,8 @@
     @Test
     void aTruncatedAnswerToWhatRunsOnceIs502AndNeverRunsAgain() throws IOException {
         Script cut = (r, reply) -> {
-            reply.head("200 OK", "Content-Length: 100\r\n");
-            reply.raw("half");
+            reply.writeHead("200 OK", "Content-Length: 100\r\n");
+            reply.write("half");
             reply.reset();
         };
         FakeHttpUpstream a = serve("a", cut);
@@ -104,15 +104,15 @@
             c.request("POST", "/book/", "id-1", "");
             assertEquals(502, c.read().status());
         }
-        assertEquals(1, a.received().size() + b.received().size());
+        assertEquals(1, a.requests().size() + b.requests().size());
     }
 
     @Test
     void anAnswerWithoutLengthIsWholeOnlyIfItsConnectionEndsInOrder() throws IOException {
         serve("a", (r, reply) -> {
-            reply.head("200 OK", "Connection: close\r\n");
-            reply.raw("first half,");
-            if (r.line().contains("reset")) {
+            reply.writeHead("200 OK", "Connection: close\r\n");
+            reply.write("first half,");
+            if (r.requestLine().contains("reset")) {
                 pause(100);
                 reply.reset();
             }
@@ -130,12 +130,12 @@
     void aRefusalOfAnUpstreamIsTriedElsewhere() throws IOException {
         serve("a", (r, reply) -> {
             boolean isFirst =
-                    upstreams.stream().mapToInt(u -> u.received().size()).sum() == 1;
+                    upstreams.stream().mapToInt(u -> u.requests().size()).sum() == 1;
             answerOrReject(isFirst, reply);
         });
         serve("b", (r, reply) -> {
             boolean isFirst =
-                    upstreams.stream().mapToInt(u -> u.received().size()).sum() == 1;
+                    upstreams.stream().mapToInt(u -> u.requests().size()).sum() == 1;
             answerOrReject(isFirst, reply);
         });
         try (RawCaller c = new RawCaller(callerPort)) {
@@ -149,16 +149,16 @@
         Script broken = (r, reply) -> {
             String last = r.header("Last-Event-Id");
             int from = last.isEmpty() ? 1 : Integer.parseInt(last) + 1;
-            reply.head("200 OK", "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n");
+            reply.writeHead("200 OK", "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n");
             for (int i = from; i <= 6; i++) {
                 if (i == 4 && from == 1) {
-                    reply.raw("14\r\nid: 4\nda");
+                    reply.write("14\r\nid: 4\nda");
                     reply.reset();
                 }
-                reply.chunk(EVENT.formatted(i, i));
+                reply.writeChunk(EVENT.formatted(i, i));
                 pause(10);
             }
-            reply.raw("0\r\n\r\n");
+            reply.write("0\r\n\r\n");
         };
         FakeHttpUpstream a = serve("a", broken);
         FakeHttpUpstream b = serve("b", broken);
@@ -172,8 +172,8 @@
             }
             assertEquals(expected.toString(), answer.body());
         }
-        List<FakeHttpUpstream.Received> all = new ArrayList<>(a.received());
-        all.addAll(b.received());
+        List<FakeHttpUpstream.ReceivedRequest> all = new ArrayList<>(a.requests());
+        all.addAll(b.requests());
         assertEquals(
                 1,
                 all.stream().filter(r -> r.header("Last-Event-Id").equals("3")).count());
@@ -182,8 +182,8 @@
     @Test
     void aStreamThatCannotBeFinishedLooksBroken() throws IOException {
         serve("a", (r, reply) -> {
-            reply.head("200 OK", "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n");
-            reply.chunk(EVENT.formatted(1, 1));
+            reply.writeHead("200 OK", "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n");
+            reply.writeChunk(EVENT.formatted(1, 1));
             pause(50);
             reply.reset();
         });
@@ -210,7 +210,7 @@
 
     @Test
     void whatTwoReadersCouldFrameDifferentlyIsRefused() throws IOException {
-        FakeHttpUpstream u = serve("a", (r, reply) -> reply.whole("200 OK", "hello"));
+        FakeHttpUpstream u = serve("a", (r, reply) -> reply.writeResponse("200 OK", "hello"));
         String head = "POST /book/ HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer key-1\r\n";
         for (String framing : List.of(
                 "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
@@ -223,12 +223,12 @@
                 assertEquals(400, c.read().status(), framing);
             }
         }
-        assertEquals(List.of(), u.received());
+        assertEquals(List.of(), u.requests());
     }
 
     @Test
     void oversizedRequestsAreRefused() throws IOException {
-        serve("a", (r, reply) -> reply.whole("200 OK", "hello"));
+        serve("a", (r, reply) -> reply.writeResponse("200 OK", "hello"));
         try (RawCaller c = new RawCaller(callerPort)) {
             c.write("GET /look/ HTTP/1.1\r\nHost: h.example\r\nX: " + "x".repeat(3000) + "\r\n\r\n");
             assertEquals(431, c.read().status());
@@ -241,7 +241,7 @@
 
     @Test
     void aCallerThatDoesNotFinishItsHeadIsToldSo() throws IOException {
-        serve("a", (r, reply) -> reply.whole("200 OK", "hello"));
+        serve("a", (r, reply) -> reply.writeResponse("200 OK", "hello"));
         try (RawCaller c = new RawCaller(callerPort)) {
             c.write("GET /look/ HTTP/1.1\r\nHost: h.exa");
             assertEquals(408, c.read().status());
@@ -250,29 +250,29 @@
 
     @Test
     void aDrainingUpstreamGetsNothingNewAndAnOlderConfigurationIsNotTaken() throws IOException {
-        FakeHttpUpstream a = serve("a", (r, reply) -> reply.whole("200 OK", "a"));
-        FakeHttpUpstream b = serve("b", (r, reply) -> reply.whole("200 OK", "b"));
+        FakeHttpUpstream a = serve("a", (r, reply) -> reply.writeResponse("200 OK", "a"));
+        FakeHttpUpstream b = serve("b", (r, reply) -> reply.writeResponse("200 OK", "b"));
         store.put("servers/a", a.entry("svc", "draining"));
         store.put("op/config", configuration(3).replace("/look/", "/gone/"));
-        long before = store.reads();
-        await("the change is read", () -> store.reads() >= before + 3);
-        int served = a.received().size();
+        long before = store.readCount();
+        await("the change is read", () -> store.readCount() >= before + 3);
+        int served = a.requests().size();
         try (RawCaller c = new RawCaller(callerPort)) {
             for (int i = 1; i <= 10; i++) {
                 c.request("GET", "/look/", "id-" + i, "");
                 assertEquals("b", c.read().body());
             }
         }
-        assertEquals(served, a.received().size());
-        assertEquals(10, b.received().size());
+        assertEquals(served, a.requests().size());
+        assertEquals(10, b.requests().size());
     }
 
     @Test
     void requestsAreServedWhileTheStoreIsAwayAndChangesAreReadAfterIt() throws IOException {
-        serve("a", (r, reply) -> reply.whole("200 OK", "a"));
-        store.setMode(FakePlatformStore.Mode.SILENT);
-        long before = store.reads();
-        await("the store is missed", () -> store.reads() >= before + 4);
+        serve("a", (r, reply) -> reply.writeResponse("200 OK", "a"));
+        store.setMode(FakePlatformStore.Mode.DISCONNECTING);
+        long before = store.readCount();
+        await("the store is missed", () -> store.readCount() >= before + 4);
         store.put("op/config", configuration(9).replace("/look/", "/see/"));
         store.compact();
         try (RawCaller c = new RawCaller(callerPort)) {
@@ -286,8 +286,8 @@
 
     @Test
     void aGatewayThatTheStoreTurnsAwayLearnsFromItsPeers() throws IOException {
-        FakeHttpUpstream a = serve("a", (r, reply) -> reply.whole("200 OK", "a"));
-        FakeHttpUpstream b = serve("b", (r, reply) -> reply.whole("200 OK", "b"));
+        FakeHttpUpstream a = serve("a", (r, reply) -> reply.writeResponse("200 OK", "a"));
+        FakeHttpUpstream b = serve("b", (r, reply) -> reply.writeResponse("200 OK", "b"));
         store.setMode(FakePlatformStore.Mode.HANGING);
         long lost = System.nanoTime();
         try (FakePlatformStore others = new FakePlatformStore();
@@ -298,19 +298,19 @@
             }
             others.put("servers/a", a.entry("svc", "draining"));
             others.put("op/config", configuration(9).replace("key-1", "key-2").replace("/stream/", "/flow/"));
-            gateway(TestPorts.next(), TestPorts.next(), others, Optional.of(local(peerPort)), List.of())
+            gateway(TestPorts.allocate(), TestPorts.allocate(), others, Optional.of(local(peerPort)), List.of())
                     .start();
             await("the key is taken away", () -> status(c, "/look/") == 401);
             long ms = Duration.ofNanos(System.nanoTime() - lost).toMillis();
             // The users' bound for a change while the store turns some machines away.
             assertTrue(ms < 7000, "after " + ms + " ms");
-            int served = a.received().size();
+            int served = a.requests().size();
             for (int i = 1; i <= 10; i++) {
                 c.write("GET /look/ HTTP/1.1\r\nHost: h.example\r\nCitrontide-Attempt-Id: new-" + i
                         + "\r\nAuthorization: Bearer key-2\r\n\r\n");
                 assertEquals("b", c.read().body());
             }
-            assertEquals(served, a.received().size());
+            assertEquals(served, a.requests().size());
         }
     }
 
@@ -321,27 +321,27 @@
 
     @Test
     void entriesThatAreDamagedNameNoUpstreamAndHarmNoOther() throws IOException {
-        FakeHttpUpstream a = serve("a", (r, reply) -> reply.whole("200 OK", "a"));
+        FakeHttpUpstream a = serve("a", (r, reply) -> reply.writeResponse("200 OK", "a"));
         store.put("servers/x1", "{\"service\":\"svc\"");
         store.put("servers/x2", a.entry("svc", "resting"));
         store.put("servers/x3", a.entry("svc", "ready").replace("\"slots\":4", "\"slots\":\"4\""));
         store.put("op/config", "{\"version\":99,\"routes\":7}");
-        long before = store.reads();
-        await("the entries are read", () -> store.reads() >= before + 3);
+        long before = store.readCount();
+        await("the entries are read", () -> store.readCount() >= before + 3);
         try (RawCaller c = new RawCaller(callerPort)) {
             for (int i = 1; i <= 10; i++) {
                 assertEquals(200, status(c, "/look/"));
             }
         }
-        assertTrue(a.received().stream()
+        assertTrue(a.requests().stream()
                 .allMatch(r -> r.header("Citrontide-Expect-Instance").equals("a")));
     }
 
     private static void answerOrReject(boolean isFirst, FakeHttpUpstream.Reply reply) throws IOException {
         if (isFirst) {
-            reply.raw("HTTP/1.1 503 Service Unavailable\r\nCitrontide-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n");
+            reply.write("HTTP/1.1 503 Service Unavailable\r\nCitrontide-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n");
         } else {
-            reply.whole("200 OK", "ran");
+            reply.writeResponse("200 OK", "ran");
         }
     }
 }
--- a/gateway/src/test/java/org/citrontide/gateway/PlannedStopTest.java
+++ b/gateway/src/test/java/org/citrontide/gateway/PlannedStopTest.java
@@ -12,7 +12,7 @@
     void aPlannedStopFinishesWhatRunsAndTellsTheBalancerFirst() throws Exception {
         serve("a", (r, reply) -> {
             pause(1500);
-            reply.whole("200 OK", "late but whole");
+            reply.writeResponse("200 OK", "late but whole");
         });
         try (RawCaller c = new RawCaller(callerPort)) {
             c.request("POST", "/book/", "id-1", "");
@@ -34,12 +34,12 @@
     void aRequestThatComesLateInAStopIsRefusedAsNotRunAndNotGivenUp() throws Exception {
         FakeHttpUpstream u = serve("a", (r, reply) -> {
             pause(5000);
-            reply.whole("200 OK", "long work");
+            reply.writeResponse("200 OK", "long work");
         });
         try (RawCaller c = new RawCaller(callerPort)) {
             c.write("POST /book/ HTTP/1.1\r\nHost: h.example\r\nCitrontide-Attempt-Id: id-1\r\n"
                     + "Authorization: Bearer key-1\r\nContent-Length: 0\r\n\r\n");
-            await("the request arrives", () -> u.received().size() == 1);
+            await("the request arrives", () -> u.requests().size() == 1);
             Thread stopper = Thread.ofVirtual().start(daemon::stop);
             pause(3600);
             try (RawCaller late = new RawCaller(callerPort)) {
@@ -48,7 +48,7 @@
                 assertEquals(503, refusal.status());
                 assertFalse(refusal.header("Retry-After").isEmpty());
             }
-            assertEquals(1, u.received().size());
+            assertEquals(1, u.requests().size());
             stopper.join();
         }
     }
