--- a/fakes/src/main/java/org/citrontide/fakes/FakeMain.java
+++ b/fakes/src/main/java/org/citrontide/fakes/FakeMain.java
@@ -15,26 +15,26 @@
 import org.citrontide.runtime.log.LogSetup;
 import org.citrontide.runtime.settings.ProcessSettings;
 
-/** The command {@code citrontide fake}. For tests and the demo only. */
+/** Entry point of the command {@code citrontide fake}, which serves fakes for tests and the demo. */
 public final class FakeMain {
     private static final String USAGE = """
             usage: citrontide fake store|engine|service --listen IP:PORT [options]
-              --listen IP:PORT          where to serve
-              --batch N                 engine: requests in the batch (8)
-              --token-ms N              engine: time of one step in ms (5)
-              --prefill-us-per-char N   engine: time to read a character of a prompt in µs (20)
-              --cache-blocks N          engine: blocks of 64 characters remembered (4096)
+              --listen IP:PORT          address to listen on
+              --batch N                 engine: maximum batch size in requests (8)
+              --token-ms N              engine: duration of a step in ms (5)
+              --prefill-us-per-char N   engine: prefill time per uncached prompt character in µs (20)
+              --cache-blocks N          engine: prefix cache capacity in blocks of 64 characters (4096)
             Faults are set by POST /fake/faults with a JSON document; see docs/FAKES.md.
             """;
     private static final int USAGE_ERROR = 2;
-    private static final int UNREACHABLE = 3;
+    private static final int LISTEN_FAILED = 3;
 
     private FakeMain() {}
 
     /**
-     * Runs a fake until the process is ended.
+     * Runs a fake until the process exits.
      *
-     * @param args kind and options
+     * @param args kind of the fake and options
      * @throws InterruptedException if the main thread is interrupted
      */
     public static void main(String[] args) throws InterruptedException {
@@ -51,11 +51,11 @@
             }
             Optional<InetSocketAddress> address = ProcessSettings.parseAddress(line.getOptionValue("listen", ""));
             if (line.getArgList().size() != 1 || address.isEmpty()) {
-                throw new ParseException("one kind and --listen IP:PORT are needed");
+                throw new ParseException("exactly one kind and --listen IP:PORT are required");
             }
             String kind = line.getArgList().getFirst();
             LogSetup.install("fake-" + kind, "fake", "fake");
-            new FakeServer(address.get(), pages(kind, line));
+            new FakeServer(address.get(), createHandler(kind, line));
             Thread.currentThread().join();
         } catch (ParseException | NumberFormatException e) {
             System.err.println("citrontide fake: " + e.getMessage());
@@ -63,11 +63,11 @@
             System.exit(USAGE_ERROR);
         } catch (IOException e) {
             System.err.println("citrontide fake: " + e.getMessage());
-            System.exit(UNREACHABLE);
+            System.exit(LISTEN_FAILED);
         }
     }
 
-    private static FakeServer.Pages pages(String kind, CommandLine line) throws ParseException {
+    private static FakeServer.RequestHandler createHandler(String kind, CommandLine line) throws ParseException {
         return switch (kind) {
             case "store" -> new FakeStore();
             case "engine" ->
--- a/fakes/src/main/java/org/citrontide/fakes/engine/BatchSlots.java
+++ b/fakes/src/main/java/org/citrontide/fakes/engine/BatchSlots.java
@@ -4,25 +4,25 @@
 import java.util.PriorityQueue;
 
 /**
- * The places in an engine's batch, given out by priority and then by arrival. Safe for use by many threads.
+ * A semaphore for the slots in the batch of an engine, acquired in the order of priority and then of arrival.
  *
- * <p>Invariant: at most the set number of places are taken.
+ * <p>Invariant: the number of acquired slots never exceeds the size of the batch. Thread-safe.
  */
 final class BatchSlots {
     private final PriorityQueue<Ticket> waiting =
             new PriorityQueue<>(Comparator.comparingInt(Ticket::priority).thenComparingLong(Ticket::number));
-    private int free;
-    private long next;
+    private int freeSlots;
+    private long nextNumber;
 
-    BatchSlots(int places) {
-        free = places;
+    BatchSlots(int slots) {
+        freeSlots = slots;
     }
 
     synchronized void acquire(int priority) throws InterruptedException {
-        Ticket t = new Ticket(priority, next++);
+        Ticket t = new Ticket(priority, nextNumber++);
         waiting.add(t);
         try {
-            while (free == 0 || waiting.peek() != t) {
+            while (freeSlots == 0 || waiting.peek() != t) {
                 wait();
             }
         } catch (InterruptedException e) {
@@ -30,16 +30,16 @@
             throw e;
         }
         waiting.poll();
-        free--;
+        freeSlots--;
         notifyAll();
     }
 
     synchronized void release() {
-        free++;
+        freeSlots++;
         notifyAll();
     }
 
-    synchronized int waiting() {
+    synchronized int waitingCount() {
         return waiting.size();
     }
 
--- a/fakes/src/main/java/org/citrontide/fakes/engine/EngineFaults.java
+++ b/fakes/src/main/java/org/citrontide/fakes/engine/EngineFaults.java
@@ -1,14 +1,14 @@
 package org.citrontide.fakes.engine;
 
 /**
- * The faults that a fake engine shows. Immutable.
+ * Faults that a fake engine injects. Immutable.
  *
- * @param breakAfterEvents the next streams break after so many events, 0 for none
- * @param breakCount number of streams that break
- * @param slowFactor time of a step relative to a healthy engine, 0 means 1
- * @param ignoreFencing whether orders with an old fencing number are carried out
+ * @param breakAfterEvents number of events after which a stream breaks, 0 for no breaks
+ * @param breakCount number of streams that break, starting with the next one
+ * @param slowFactor duration of a step relative to a healthy engine, 0 or less means 1
+ * @param ignoreFencing whether orders with a stale fencing number are accepted
  */
 public record EngineFaults(int breakAfterEvents, int breakCount, double slowFactor, boolean ignoreFencing) {
-    /** An engine without faults. */
+    /** No faults. */
     public static final EngineFaults NONE = new EngineFaults(0, 0, 1, false);
 }
--- a/fakes/src/main/java/org/citrontide/fakes/engine/FakeEngine.java
+++ b/fakes/src/main/java/org/citrontide/fakes/engine/FakeEngine.java
@@ -10,12 +10,12 @@
 import org.citrontide.fakes.http.FakeServer;
 
 /**
- * A stand-in for a model engine: a batch with priorities, a cache of prompt prefixes, streamed tokens that depend only
- * on the prompt, resumption, a lagging load report, cache events, and orders with fencing numbers.
+ * A fake model engine with a prioritized batch, a cache of prompt prefixes, streamed tokens that depend only on the
+ * prompt, resumption of streams, a lagging load report, cache events, and orders with fencing numbers.
  *
- * <p>Safe for use by many threads.
+ * <p>Thread-safe.
  */
-public final class FakeEngine implements FakeServer.Pages {
+public final class FakeEngine implements FakeServer.RequestHandler {
     private static final int DEFAULT_PRIORITY = 3;
     private static final int DEFAULT_TOKENS = 16;
     private static final int VOCABULARY = 1000;
@@ -25,28 +25,28 @@
     private static final int CONFLICT = 409;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final long tokenMillis;
+    private final long stepMillis;
     private final long prefillMicrosPerChar;
     private final BatchSlots slots;
     private final PrefixCache cache;
     private final AtomicInteger running = new AtomicInteger();
     private final AtomicInteger breaksLeft = new AtomicInteger();
-    private final AtomicLong highestFencing = new AtomicLong();
+    private final AtomicLong highestFencingNumber = new AtomicLong();
     private volatile EngineFaults faults = EngineFaults.NONE;
     private volatile Load load = new Load(0, 0, 0);
 
     /**
-     * Makes an engine.
+     * Creates an engine.
      *
-     * @param batch requests in the batch at most
-     * @param tokenMillis time of one step in ms
-     * @param prefillMicrosPerChar time to read a character of a prompt that is not cached, in µs
-     * @param cacheBlocks blocks of prompts that are remembered
+     * @param batchSize maximum number of requests in the batch
+     * @param stepMillis duration of a step, which generates one token, in ms
+     * @param prefillMicrosPerChar prefill time for each prompt character that is not cached, in µs
+     * @param cacheBlocks maximum number of prompt blocks in the prefix cache
      */
-    public FakeEngine(int batch, long tokenMillis, long prefillMicrosPerChar, int cacheBlocks) {
-        this.tokenMillis = tokenMillis;
+    public FakeEngine(int batchSize, long stepMillis, long prefillMicrosPerChar, int cacheBlocks) {
+        this.stepMillis = stepMillis;
         this.prefillMicrosPerChar = prefillMicrosPerChar;
-        this.slots = new BatchSlots(batch);
+        this.slots = new BatchSlots(batchSize);
         this.cache = new PrefixCache(cacheBlocks);
     }
 
@@ -56,7 +56,7 @@
             case "POST /v1/chat/completions" -> complete(call);
             case "GET /load" -> FakeServer.Reply.json(JSON.writeValueAsString(load()));
             case "GET /cache-events" ->
-                FakeServer.Reply.json(JSON.writeValueAsString(cache.after(call.query("after", 0))));
+                FakeServer.Reply.json(JSON.writeValueAsString(cache.eventsAfter(call.query("after", 0))));
             case "POST /orders" -> order(call);
             case "POST /fake/faults" -> {
                 faults = JSON.readValue(call.body(), EngineFaults.class);
@@ -74,12 +74,12 @@
         }
         String prompt = json.path("messages").toString();
         int tokens = json.path("max_tokens").asInt(DEFAULT_TOKENS);
-        slots.acquire(priority(call.header("Priority", "")));
+        slots.acquire(parsePriority(call.header("Priority", "")));
         running.incrementAndGet();
         try {
-            double hit = cache.admit(prompt);
-            pauseMicros((long) (prompt.length() * prefillMicrosPerChar * (1 - hit)));
-            return json.path("stream").asBoolean() ? stream(call, prompt, tokens) : whole(prompt, tokens);
+            double cachedRatio = cache.insert(prompt);
+            sleepMicros((long) (prompt.length() * prefillMicrosPerChar * (1 - cachedRatio)));
+            return json.path("stream").asBoolean() ? stream(call, prompt, tokens) : completeWhole(prompt, tokens);
         } finally {
             running.decrementAndGet();
             slots.release();
@@ -88,12 +88,12 @@
 
     private FakeServer.Reply stream(FakeServer.Call call, String prompt, int tokens)
             throws IOException, InterruptedException {
-        int skip = Integer.parseInt(call.header("Resume-After-Events", "0"));
-        boolean breaks = faults.breakAfterEvents() > 0 && breaksLeft.getAndDecrement() > 0;
-        for (int i = skip; i < tokens; i++) {
-            step();
-            if (breaks && i - skip == faults.breakAfterEvents()) {
-                throw new IOException("the stream breaks");
+        int resumeAfter = Integer.parseInt(call.header("Resume-After-Events", "0"));
+        boolean shouldBreak = faults.breakAfterEvents() > 0 && breaksLeft.getAndDecrement() > 0;
+        for (int i = resumeAfter; i < tokens; i++) {
+            awaitStep();
+            if (shouldBreak && i - resumeAfter == faults.breakAfterEvents()) {
+                throw new IOException("injected fault: the stream breaks");
             }
             String delta = "{\"choices\":[{\"index\":0,\"delta\":{\"content\":\"" + token(prompt, i) + "\"}}]}";
             call.stream("text/event-stream", "data: " + delta + "\n\n");
@@ -102,10 +102,10 @@
         return FakeServer.Reply.status(0);
     }
 
-    private FakeServer.Reply whole(String prompt, int tokens) throws InterruptedException {
+    private FakeServer.Reply completeWhole(String prompt, int tokens) throws InterruptedException {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < tokens; i++) {
-            step();
+            awaitStep();
             text.append(token(prompt, i));
         }
         return FakeServer.Reply.json(
@@ -113,11 +113,11 @@
     }
 
     /**
-     * Returns a token of the answer to a prompt.
+     * Returns a token of the completion of a prompt.
      *
      * @param prompt the messages as JSON text
-     * @param index number of the token
-     * @return the token with a blank behind it
+     * @param index index of the token in the completion
+     * @return the token followed by a space
      */
     public static String token(String prompt, int index) {
         return "w" + Math.floorMod(31 * prompt.hashCode() + 17 * index, VOCABULARY) + " ";
@@ -125,32 +125,32 @@
 
     private FakeServer.Reply order(FakeServer.Call call) {
         long number = Long.parseLong(call.header("Fencing-Number", "0"));
-        long highest = highestFencing.getAndAccumulate(number, Math::max);
-        boolean old = number < highest && !faults.ignoreFencing();
-        return old ? FakeServer.Reply.status(CONFLICT) : FakeServer.Reply.json("{}");
+        long highest = highestFencingNumber.getAndAccumulate(number, Math::max);
+        boolean isStale = number < highest && !faults.ignoreFencing();
+        return isStale ? FakeServer.Reply.status(CONFLICT) : FakeServer.Reply.json("{}");
     }
 
     private Load load() {
         Load last = load;
         long now = System.nanoTime();
         if (now - last.takenNanos() > LOAD_LAG_NANOS) {
-            load = new Load(running.get(), slots.waiting(), now);
+            load = new Load(running.get(), slots.waitingCount(), now);
         }
         return last;
     }
 
-    private void step() throws InterruptedException {
+    private void awaitStep() throws InterruptedException {
         double factor = faults.slowFactor() <= 0 ? 1 : faults.slowFactor();
-        pauseMicros((long) (TimeUnit.MILLISECONDS.toMicros(tokenMillis) * factor));
+        sleepMicros((long) (TimeUnit.MILLISECONDS.toMicros(stepMillis) * factor));
     }
 
-    private static void pauseMicros(long micros) throws InterruptedException {
+    private static void sleepMicros(long micros) throws InterruptedException {
         TimeUnit.MICROSECONDS.sleep(micros);
     }
 
-    private static int priority(String header) {
-        int at = header.indexOf("u=");
-        return at < 0 ? DEFAULT_PRIORITY : header.charAt(at + 2) - '0';
+    private static int parsePriority(String header) {
+        int start = header.indexOf("u=");
+        return start < 0 ? DEFAULT_PRIORITY : header.charAt(start + 2) - '0';
     }
 
     private record Load(int running, int waiting, long takenNanos) {}
--- a/fakes/src/main/java/org/citrontide/fakes/engine/PrefixCache.java
+++ b/fakes/src/main/java/org/citrontide/fakes/engine/PrefixCache.java
@@ -6,16 +6,17 @@
 import java.util.Map;
 
 /**
- * The blocks of prompts that an engine remembers, with the events of their coming and going. Safe for use by many
- * threads.
+ * A cache of prompt blocks with a log of insertions and evictions. A block is identified by the hash of the prompt up
+ * to its end.
  *
- * <p>Invariant: at most the set number of blocks are kept; the least recently used goes first.
+ * <p>Invariant: the cache never holds more than the maximum number of blocks; it evicts the least recently used block
+ * first. Thread-safe.
  */
 final class PrefixCache {
     private static final int BLOCK_CHARS = 64;
     private static final int MAX_EVENTS = 1000;
 
-    /** One event; a reader sees gaps in the numbers where events were lost. */
+    /** An insertion or eviction. Only the last events are kept; a reader detects lost events by gaps in the numbers. */
     record Event(long number, String kind, int block) {}
 
     private final int maxBlocks;
@@ -27,37 +28,37 @@
         this.maxBlocks = maxBlocks;
     }
 
-    /** Takes a prompt in and returns the part of its blocks that was remembered, from 0 to 1. */
-    synchronized double admit(String prompt) {
-        int hits = 0;
-        int count = 0;
+    /** Inserts the blocks of a prompt and returns the ratio of blocks in its longest cached prefix, from 0 to 1. */
+    synchronized double insert(String prompt) {
+        int cachedCount = 0;
+        int blockCount = 0;
         int hash = 0;
-        boolean prefix = true;
+        boolean isPrefixCached = true;
         for (int i = 0; i + BLOCK_CHARS <= prompt.length(); i += BLOCK_CHARS) {
             hash = 31 * hash + prompt.substring(i, i + BLOCK_CHARS).hashCode();
-            count++;
-            prefix &= blocks.get(hash) != null;
-            hits += prefix ? 1 : 0;
-            store(hash);
+            blockCount++;
+            isPrefixCached &= blocks.get(hash) != null;
+            cachedCount += isPrefixCached ? 1 : 0;
+            insertBlock(hash);
         }
-        return count == 0 ? 0 : (double) hits / count;
+        return blockCount == 0 ? 0 : (double) cachedCount / blockCount;
     }
 
-    synchronized List<Event> after(long number) {
+    synchronized List<Event> eventsAfter(long number) {
         return events.stream().filter(e -> e.number() > number).toList();
     }
 
-    private void store(int hash) {
+    private void insertBlock(int hash) {
         if (blocks.put(hash, true) == null) {
-            event("stored", hash);
+            addEvent("stored", hash);
         }
         if (blocks.size() > maxBlocks) {
-            Map.Entry<Integer, Boolean> oldest = blocks.pollFirstEntry();
-            event("removed", oldest.getKey());
+            Map.Entry<Integer, Boolean> evicted = blocks.pollFirstEntry();
+            addEvent("removed", evicted.getKey());
         }
     }
 
-    private void event(String kind, int block) {
+    private void addEvent(String kind, int block) {
         events.add(new Event(nextNumber++, kind, block));
         if (events.size() > MAX_EVENTS) {
             events.removeFirst();
--- a/fakes/src/main/java/org/citrontide/fakes/http/FakeServer.java
+++ b/fakes/src/main/java/org/citrontide/fakes/http/FakeServer.java
@@ -20,7 +20,7 @@
 import org.eclipse.jetty.util.Fields;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** A small HTTP server whose handlers may block: each request has a virtual thread. Safe for use by many threads. */
+/** A small HTTP server that runs each request on a virtual thread, so that handlers may block. Thread-safe. */
 public final class FakeServer implements AutoCloseable {
     private static final int THREADS = 16;
 
@@ -30,11 +30,11 @@
     /**
      * Starts the server.
      *
-     * @param address IP number and port; port 0 takes a free one
-     * @param pages what it serves
-     * @throws IOException if the address can't be used
+     * @param address IP address and port; port 0 selects a free port
+     * @param requestHandler handler of the requests
+     * @throws IOException if the server can't listen on the address
      */
-    public FakeServer(InetSocketAddress address, Pages pages) throws IOException {
+    public FakeServer(InetSocketAddress address, RequestHandler requestHandler) throws IOException {
         QueuedThreadPool pool = new QueuedThreadPool(THREADS, 2);
         pool.setVirtualThreadsExecutor(Executors.newVirtualThreadPerTaskExecutor());
         server = new Server(pool);
@@ -46,18 +46,18 @@
         connector.setPort(address.getPort());
         connector.setReuseAddress(true);
         server.addConnector(connector);
-        server.setHandler(new PagesHandler(pages));
+        server.setHandler(new RequestHandlerAdapter(requestHandler));
         try {
             server.start();
         } catch (IOException e) {
             throw e;
         } catch (Exception e) {
-            throw new IOException("can't serve on " + address, e);
+            throw new IOException("could not start a server on " + address, e);
         }
     }
 
     /**
-     * Returns the port bound.
+     * Returns the TCP port on which the server listens.
      *
      * @return TCP port
      */
@@ -70,38 +70,38 @@
         try {
             server.stop();
         } catch (Exception e) {
-            throw new IllegalStateException("the server did not stop", e);
+            throw new IllegalStateException("could not stop the server", e);
         }
     }
 
-    /** What a fake serves. Implementations are safe for use by many threads. */
-    public interface Pages {
+    /** Handles the requests of a fake. Implementations are thread-safe. */
+    public interface RequestHandler {
 
         /**
-         * Answers one request; may block.
+         * Handles one request. May block.
          *
          * @param call the request
          * @return the reply
-         * @throws IOException if the connection is to break without a whole reply
+         * @throws IOException to close the connection without a complete reply
          * @throws InterruptedException if the server stops
          */
         Reply serve(Call call) throws IOException, InterruptedException;
     }
 
     /**
-     * One reply. Immutable; the array must not be changed.
+     * An HTTP reply. Immutable; the array must not be modified.
      *
      * @param status HTTP status
-     * @param revision value of the {@code Revision} header, below 0 for none
-     * @param body the body
+     * @param revision value of the {@code Revision} header, negative to omit the header
+     * @param body response body
      */
     public record Reply(int status, long revision, byte[] body) {
         private static final int OK = 200;
 
         /**
-         * Makes a JSON reply.
+         * Creates a JSON reply.
          *
-         * @param text the document
+         * @param text JSON document
          * @return the reply with status 200
          */
         public static Reply json(String text) {
@@ -109,7 +109,7 @@
         }
 
         /**
-         * Makes a reply without a body.
+         * Creates a reply without a body.
          *
          * @param status HTTP status
          * @return the reply
@@ -119,12 +119,12 @@
         }
     }
 
-    /** One request. Confined to its thread. */
+    /** An HTTP request in progress. Confined to its thread. */
     public static final class Call {
         private final Request request;
         private final Response response;
         private final byte[] body;
-        private boolean streaming;
+        private boolean isStreaming;
 
         private Call(Request request, Response response, byte[] body) {
             this.request = request;
@@ -135,38 +135,38 @@
         /**
          * Returns the method and the path.
          *
-         * @return such as {@code GET /v1/vms/mill-brook}
+         * @return method and path separated by a space, for example {@code GET /v1/vms/mill-brook}
          */
         public String target() {
             return request.getMethod() + " " + Request.getPathInContext(request);
         }
 
         /**
-         * Returns the body.
+         * Returns the request body.
          *
-         * @return the whole body
+         * @return the complete body
          */
         public byte[] body() {
             return body;
         }
 
         /**
-         * Reads a number from the query.
+         * Returns the value of a numeric query parameter.
          *
          * @param name name of the parameter
-         * @param fallback value if it is absent
-         * @return the number
+         * @param defaultValue value if the parameter is absent
+         * @return the value
          */
-        public long query(String name, long fallback) {
+        public long query(String name, long defaultValue) {
             Fields.Field f = Request.extractQueryParameters(request).get(name);
-            return f == null ? fallback : Long.parseLong(f.getValue());
+            return f == null ? defaultValue : Long.parseLong(f.getValue());
         }
 
         /**
-         * Reads a text from the query.
+         * Returns the value of a query parameter.
          *
          * @param name name of the parameter
-         * @return its value, empty if it is absent
+         * @return the value, empty if the parameter is absent
          */
         public String query(String name) {
             Fields.Field f = Request.extractQueryParameters(request).get(name);
@@ -174,38 +174,38 @@
         }
 
         /**
-         * Reads a header.
+         * Returns the value of a header field.
          *
-         * @param name name of the header
-         * @param fallback value if it is absent
-         * @return its value
+         * @param name name of the field
+         * @param defaultValue value if the field is absent
+         * @return the value
          */
-        public String header(String name, String fallback) {
+        public String header(String name, String defaultValue) {
             HttpField f = request.getHeaders().getField(name);
-            return f == null ? fallback : f.getValue();
+            return f == null ? defaultValue : f.getValue();
         }
 
         /**
-         * Sends a part of a streamed answer and waits until it has left.
+         * Writes a part of a streamed response. Blocks until the part is written.
          *
          * @param contentType media type, sent with the first part
          * @param text the part
-         * @throws IOException if the caller has gone
+         * @throws IOException if the connection is closed
          */
         public void stream(String contentType, String text) throws IOException {
-            if (!streaming) {
-                streaming = true;
+            if (!isStreaming) {
+                isStreaming = true;
                 response.getHeaders().put("Content-Type", contentType);
             }
             Content.Sink.write(response, false, ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
         }
     }
 
-    private static final class PagesHandler extends Handler.Abstract {
-        private final Pages pages;
+    private static final class RequestHandlerAdapter extends Handler.Abstract {
+        private final RequestHandler requestHandler;
 
-        private PagesHandler(Pages pages) {
-            this.pages = pages;
+        private RequestHandlerAdapter(RequestHandler requestHandler) {
+            this.requestHandler = requestHandler;
         }
 
         @Override
@@ -213,8 +213,8 @@
             try {
                 byte[] body = BufferUtil.toArray(Content.Source.asByteBuffer(request));
                 Call call = new Call(request, response, body);
-                Reply reply = pages.serve(call);
-                if (!call.streaming) {
+                Reply reply = requestHandler.serve(call);
+                if (!call.isStreaming) {
                     response.setStatus(reply.status());
                     response.getHeaders().put("Content-Type", "application/json");
                     if (reply.revision() >= 0) {
--- a/fakes/src/main/java/org/citrontide/fakes/service/FakeService.java
+++ b/fakes/src/main/java/org/citrontide/fakes/service/FakeService.java
@@ -9,24 +9,24 @@
 import org.citrontide.fakes.http.FakeServer;
 
 /**
- * A stand-in for a plain service: bookings that it records by key, and turns that may be checked any number of times.
+ * A fake of a plain service with bookings, which it counts by idempotency key, and turns, which are read idempotently.
  *
- * <p>Invariant: every run of a booking is recorded before its answer leaves. Safe for use by many threads.
+ * <p>Invariant: each run of a booking is counted before its reply is sent. Thread-safe.
  */
-public final class FakeService implements FakeServer.Pages {
+public final class FakeService implements FakeServer.RequestHandler {
     private static final int NOT_FOUND = 404;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final Map<String, Integer> runs = new TreeMap<>();
+    private final Map<String, Integer> runsByKey = new TreeMap<>();
     private volatile ServiceFaults faults = new ServiceFaults(0, 0);
-    private int breaksLeft;
-    private int bookings;
+    private int repliesToBreak;
+    private int lastBookingNumber;
 
     @Override
     public FakeServer.Reply serve(FakeServer.Call call) throws IOException, InterruptedException {
         String target = call.target();
         if (target.equals("GET /fake/runs")) {
-            return FakeServer.Reply.json(runsJson());
+            return FakeServer.Reply.json(runsAsJson());
         }
         if (target.equals("POST /fake/faults")) {
             setFaults(JSON.readValue(call.body(), ServiceFaults.class));
@@ -35,7 +35,7 @@
         if (target.equals("POST /bookings")) {
             String answer = book(call.header("Idempotency-Key", "none"));
             TimeUnit.MILLISECONDS.sleep(faults.delayMillis());
-            breakIfAsked();
+            injectLostReply();
             return FakeServer.Reply.json(answer);
         }
         if (target.startsWith("GET /turns/")) {
@@ -46,31 +46,31 @@
     }
 
     private synchronized String book(String key) {
-        runs.merge(key, 1, Integer::sum);
-        return "{\"booking\":" + ++bookings + ",\"key\":\"" + key + "\"}";
+        runsByKey.merge(key, 1, Integer::sum);
+        return "{\"booking\":" + ++lastBookingNumber + ",\"key\":\"" + key + "\"}";
     }
 
-    private synchronized String runsJson() throws IOException {
-        return JSON.writeValueAsString(runs);
+    private synchronized String runsAsJson() throws IOException {
+        return JSON.writeValueAsString(runsByKey);
     }
 
     private synchronized void setFaults(ServiceFaults f) {
         faults = f;
-        breaksLeft = f.breakAnswers();
+        repliesToBreak = f.breakAnswers();
     }
 
-    private synchronized void breakIfAsked() throws IOException {
-        if (breaksLeft > 0) {
-            breaksLeft--;
-            throw new IOException("the answer is lost");
+    private synchronized void injectLostReply() throws IOException {
+        if (repliesToBreak > 0) {
+            repliesToBreak--;
+            throw new IOException("injected fault: the reply is lost");
         }
     }
 
     /**
-     * The faults that a fake service shows. Immutable.
+     * Faults that a fake service injects. Immutable.
      *
-     * @param delayMillis time between a run and its answer, in ms
-     * @param breakAnswers number of bookings from now on that run but get no answer
+     * @param delayMillis delay between the run of a request and its reply, in ms
+     * @param breakAnswers number of next bookings that run but whose reply is lost
      */
     public record ServiceFaults(long delayMillis, int breakAnswers) {}
 }
