--- a/gateway/src/main/java/org/citrontide/gateway/daemon/ControlPlane.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/ControlPlane.java
@@ -82,13 +82,13 @@
 
     @Override
     public void configured(RoutingTable table) {
-        shell.configured(table);
+        shell.setRoutingTable(table);
         maps.configured(table);
     }
 
     @Override
     public void listed(List<ListedUpstream> upstreams) {
-        shell.listed(upstreams);
+        shell.updateUpstreams(upstreams);
         maps.listed(upstreams);
     }
 
--- a/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayDaemon.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayDaemon.java
@@ -65,13 +65,13 @@
         }
         long end = System.nanoTime() + settings.stopLimit().toNanos();
         long notice = System.nanoTime() + BALANCER_NOTICE.toNanos();
-        parts.loop().next().execute(() -> parts.shell().stop());
+        parts.loop().next().execute(() -> parts.shell().setStopping());
         LOG.info("stopping").with("open", parts.shell().openRequests()).write();
         while (System.nanoTime() < notice) {
             pause();
         }
         parts.loop().next().execute(() -> {
-            parts.shell().refuseNew();
+            parts.shell().refuseNewRequests();
             parts.controlPlane().stop();
         });
         while (System.nanoTime() < end
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayMetrics.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayMetrics.java
@@ -6,9 +6,9 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 import org.citrontide.runtime.metrics.TeamLabels;
 
-/** The metrics of a gateway. Safe for use by many threads. */
+/** The metrics of a gateway. Thread-safe. */
 public final class GatewayMetrics {
-    private static final double[] SECONDS = {0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8};
+    private static final double[] BUCKET_BOUNDS_SECONDS = {0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8};
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final TeamLabels teams;
@@ -16,14 +16,14 @@
     private final Histogram firstByteSeconds;
     private final Counter outcomes;
     private final Counter attempts;
-    private final Gauge open;
-    private final Gauge version;
+    private final Gauge openRequestsGauge;
+    private final Gauge versionGauge;
 
     /**
      * Registers the metrics.
      *
-     * @param registry where to
-     * @param maxTeams teams that have labels of their own
+     * @param registry registry for the metrics
+     * @param maxTeams maximum number of teams with a label value of their own
      */
     public GatewayMetrics(PrometheusRegistry registry, int maxTeams) {
         teams = new TeamLabels(maxTeams);
@@ -39,26 +39,26 @@
                 .help("Attempts sent to upstreams")
                 .labelNames("service")
                 .register(registry);
-        open = gauge(registry, "citrontide_gateway_open_requests", "Requests without a final answer");
-        version = gauge(registry, "citrontide_gateway_configuration_version", "Version in force");
+        openRequestsGauge = gauge(registry, "citrontide_gateway_open_requests", "Requests without a final answer");
+        versionGauge = gauge(registry, "citrontide_gateway_configuration_version", "Version in force");
     }
 
-    void firstByte(String team, int rank, long nanos) {
+    void recordFirstByte(String team, int rank, long nanos) {
         firstByteSeconds.labelValues(teams.label(team), Integer.toString(rank)).observe(nanos / NANOS_PER_SECOND);
     }
 
-    void ended(String service, String team, int rank, String outcome, String reason, long nanos) {
+    void recordRequestEnd(String service, String team, int rank, String outcome, String reason, long nanos) {
         requestSeconds.labelValues(teams.label(team), Integer.toString(rank)).observe(nanos / NANOS_PER_SECOND);
         outcomes.labelValues(service, outcome, reason).inc();
     }
 
-    void attempt(String service) {
+    void recordAttempt(String service) {
         attempts.labelValues(service).inc();
     }
 
-    void state(int openRequests, long configurationVersion) {
-        open.set(openRequests);
-        version.set(configurationVersion);
+    void recordState(int openRequests, long configurationVersion) {
+        openRequestsGauge.set(openRequests);
+        versionGauge.set(configurationVersion);
     }
 
     private static Histogram histogram(PrometheusRegistry registry, String name, String help) {
@@ -67,7 +67,7 @@
                 .help(help)
                 .labelNames("team", "rank")
                 .classicOnly()
-                .classicUpperBounds(SECONDS)
+                .classicUpperBounds(BUCKET_BOUNDS_SECONDS)
                 .register(registry);
     }
 
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
@@ -37,16 +37,17 @@
 import org.citrontide.platform.PlatformHeaders;
 
 /**
- * Turns requests, answers and timers into events of the dispatcher, and its actions into bytes.
+ * Connects the {@link GatewayDispatcher} to the network: passes requests, responses and timer ticks to it as events,
+ * and carries out the actions that it returns.
  *
  * <p>Not thread-safe: owned by the event loop.
  */
 public final class GatewayShell implements CallerListener, AttemptListener {
-    // Deadlines are kept to within this; the smallest that callers set is some hundred milliseconds.
+    // Deadlines are enforced with this precision; the shortest that callers set are some hundred milliseconds.
     private static final Duration TICK = Duration.ofMillis(50);
-    // Smaller changes of an upstream's speed are not worth a line.
-    private static final double NOTED_SPEED_CHANGE = 0.5;
-    private static final Duration NO_DEADLINE = Duration.ofSeconds(60);
+    // Smaller changes of the slowness of an upstream are not logged.
+    private static final double MIN_LOGGED_SLOWNESS_CHANGE = 0.5;
+    private static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(60);
 
     private final GatewayDispatcher dispatcher;
     private final UpstreamConnections connections;
@@ -55,22 +56,22 @@
     private final GatewayMetrics metrics;
     private final CallerWaitEstimator waitEstimator = new CallerWaitEstimator();
     private final RequestLog log = new RequestLog();
-    private final Map<Long, OpenExchange> open = new HashMap<>();
-    private final Map<Long, OpenExchange> byAttempt = new HashMap<>();
-    private final Map<CallerRequest, Long> ids = new HashMap<>();
-    private final Map<String, Double> speeds = new HashMap<>();
+    private final Map<Long, OpenExchange> openById = new HashMap<>();
+    private final Map<Long, OpenExchange> openByAttempt = new HashMap<>();
+    private final Map<CallerRequest, Long> idByRequest = new HashMap<>();
+    private final Map<String, Double> slownessByUpstream = new HashMap<>();
     private RoutingTable table = RoutingTable.NONE;
     private boolean stopping;
-    private boolean refusing;
-    private long nextRequest = 1;
+    private boolean refusingNewRequests;
+    private long nextRequestId = 1;
 
     /**
-     * Makes a shell.
+     * Creates a shell and schedules its periodic tick.
      *
-     * @param dispatcher decides
-     * @param loop event loop
-     * @param random chooses among the services of split routes
-     * @param metrics counts
+     * @param dispatcher decides on the requests
+     * @param loop event loop that owns the shell
+     * @param random source of randomness for the choice among the services of split routes
+     * @param metrics metrics to update
      */
     public GatewayShell(GatewayDispatcher dispatcher, EventLoop loop, RandomGenerator random, GatewayMetrics metrics) {
         this.dispatcher = dispatcher;
@@ -81,50 +82,52 @@
         loop.scheduleAtFixedRate(this::tick, TICK.toMillis(), TICK.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    /** Says that the process is stopping, so that connections end with their next answer. */
-    public void stop() {
+    /** Marks the process as stopping, so that each caller's connection is closed after its next response. */
+    public void setStopping() {
         stopping = true;
     }
 
-    /** Refuses new requests from here on, since the process may end before they could be answered. */
-    public void refuseNew() {
-        refusing = true;
+    /** Refuses new requests from now on, since the process may exit before it can respond to them. */
+    public void refuseNewRequests() {
+        refusingNewRequests = true;
     }
 
     /**
-     * Returns the table in force.
+     * Returns the routing table in force.
      *
-     * @return the routing table
+     * @return the routing table, {@link RoutingTable#NONE} before the first configuration
      */
     public RoutingTable table() {
         return table;
     }
 
     /**
-     * Returns the requests without a final answer.
+     * Returns the number of requests without a final response.
      *
-     * @return count
+     * @return number of open requests
      */
     public int openRequests() {
-        return open.size();
+        return openById.size();
     }
 
     /**
-     * Puts a configuration in force.
+     * Puts a routing table in force.
      *
-     * @param t the routing table
+     * @param newTable the routing table
      */
-    public void configured(RoutingTable t) {
-        table = t;
+    public void setRoutingTable(RoutingTable newTable) {
+        table = newTable;
     }
 
     /**
-     * Takes the list of upstreams.
+     * Updates the list of upstreams.
      *
-     * @param upstreams all that may be used
+     * @param upstreams all usable upstreams
      */
-    public void listed(List<ListedUpstream> upstreams) {
-        speeds.keySet().retainAll(upstreams.stream().map(ListedUpstream::id).toList());
+    public void updateUpstreams(List<ListedUpstream> upstreams) {
+        slownessByUpstream
+                .keySet()
+                .retainAll(upstreams.stream().map(ListedUpstream::id).toList());
         handle(new GatewayEvent.UpstreamsUpdated(upstreams));
     }
 
@@ -134,206 +137,222 @@
     }
 
     @Override
-    public void arrived(CallerRequest r) {
+    public void arrived(CallerRequest request) {
         long now = System.nanoTime();
-        RequestHead head = new RequestHead(r.target(), r.headers(), table);
-        Optional<Reason> refusal = refusing ? Optional.of(Reason.DRAINING) : GatewayFilter.checkAll(head);
+        RequestHead head = new RequestHead(request.target(), request.headers(), table);
+        Optional<Reason> refusal = refusingNewRequests ? Optional.of(Reason.DRAINING) : GatewayFilter.checkAll(head);
         if (refusal.isPresent()) {
             Verdict verdict = new Verdict.NotRun(refusal.get(), TICK);
-            log.refusedByFilter(r, table.version(), verdict);
-            Refusals.send(r, verdict);
+            log.logFilterRefusal(request, table.version(), verdict);
+            Refusals.send(request, verdict);
             return;
         }
-        GatewayRequest g = request(r, head, now);
-        open.put(g.id(), new OpenExchange(r, g));
-        ids.put(r, g.id());
-        handle(new GatewayEvent.RequestArrived(g));
+        GatewayRequest gatewayRequest = buildRequest(request, head, now);
+        openById.put(gatewayRequest.id(), new OpenExchange(request, gatewayRequest));
+        idByRequest.put(request, gatewayRequest.id());
+        handle(new GatewayEvent.RequestArrived(gatewayRequest));
     }
 
     @Override
-    public void gone(CallerRequest r) {
-        Long id = ids.remove(r);
+    public void gone(CallerRequest request) {
+        Long id = idByRequest.remove(request);
         if (id == null) {
             return;
         }
-        OpenExchange e = open.remove(id);
-        log.ended(e, "caller-gone", "none", table.version());
-        metrics.ended(e.request.service(), e.request.team(), e.request.rank(), "caller-gone", "none", age(e));
+        OpenExchange exchange = openById.remove(id);
+        log.logRequestEnd(exchange, "caller-gone", "none", table.version());
+        metrics.recordRequestEnd(
+                exchange.request.service(),
+                exchange.request.team(),
+                exchange.request.rank(),
+                "caller-gone",
+                "none",
+                ageNanos(exchange));
         handle(new GatewayEvent.CallerDisconnected(id));
     }
 
     @Override
-    public void streamed(UpstreamAttempt a, byte[] data) {
-        OpenExchange e = exchange(a);
-        if (e == null) {
+    public void streamed(UpstreamAttempt attempt, byte[] data) {
+        OpenExchange exchange = findExchange(attempt);
+        if (exchange == null) {
             return;
         }
-        byte[] events = e.events.add(data);
-        if (e.events.hasGap()) {
-            connections.cancel(a);
-            ended(a, new AttemptOutcome.Broken(Reason.ANSWER_BROKEN));
+        byte[] events = exchange.events.add(data);
+        if (exchange.events.hasGap()) {
+            connections.cancel(attempt);
+            ended(attempt, new AttemptOutcome.Broken(Reason.ANSWER_BROKEN));
             return;
         }
-        handle(new GatewayEvent.ResponseProgress(a.number(), e.begun || events.length > 0));
-        if (events.length == 0 || !open.containsKey(e.request.id())) {
+        handle(new GatewayEvent.ResponseProgress(attempt.number(), exchange.responseStarted || events.length > 0));
+        if (events.length == 0 || !openById.containsKey(exchange.request.id())) {
             return;
         }
-        begin(e, a.head().orElseThrow());
-        e.caller.connection().part(events);
+        startResponse(exchange, attempt.head().orElseThrow());
+        exchange.caller.connection().part(events);
     }
 
     @Override
-    public void ended(UpstreamAttempt a, AttemptOutcome outcome) {
-        OpenExchange e = exchange(a);
-        if (e == null) {
+    public void ended(UpstreamAttempt attempt, AttemptOutcome outcome) {
+        OpenExchange exchange = findExchange(attempt);
+        if (exchange == null) {
             return;
         }
-        boolean isCut =
-                a.head().isPresent() && outcome instanceof AttemptOutcome.Completed && !e.events.isBetweenEvents();
-        AttemptOutcome o = isCut ? new AttemptOutcome.Broken(Reason.ANSWER_BROKEN) : outcome;
-        byAttempt.remove(a.number());
-        log.attemptEnded(e, a, o);
-        handle(new GatewayEvent.AttemptEnded(a.number(), o));
+        boolean isTruncated = attempt.head().isPresent()
+                && outcome instanceof AttemptOutcome.Completed
+                && !exchange.events.isBetweenEvents();
+        AttemptOutcome finalOutcome = isTruncated ? new AttemptOutcome.Broken(Reason.ANSWER_BROKEN) : outcome;
+        openByAttempt.remove(attempt.number());
+        log.logAttemptEnd(exchange, attempt, finalOutcome);
+        handle(new GatewayEvent.AttemptEnded(attempt.number(), finalOutcome));
     }
 
     private void tick() {
         handle(new GatewayEvent.Tick());
-        metrics.state(open.size(), table.version());
+        metrics.recordState(openById.size(), table.version());
     }
 
-    private OpenExchange exchange(UpstreamAttempt a) {
-        OpenExchange e = byAttempt.get(a.number());
-        return e != null && e.attempt.isPresent() && e.attempt.get() == a ? e : null;
+    private OpenExchange findExchange(UpstreamAttempt attempt) {
+        OpenExchange exchange = openByAttempt.get(attempt.number());
+        return exchange != null && exchange.attempt.isPresent() && exchange.attempt.get() == attempt ? exchange : null;
     }
 
-    private GatewayRequest request(CallerRequest r, RequestHead head, long now) {
+    private GatewayRequest buildRequest(CallerRequest callerRequest, RequestHead head, long now) {
         Route route = head.route();
-        Duration callerTime = ForwardedRequest.number(r.headers(), PlatformHeaders.REMAINING_MS)
+        Duration callerTimeout = UpstreamRequestBuilder.parseNumber(
+                        callerRequest.headers(), PlatformHeaders.REMAINING_MS)
                 .map(Duration::ofMillis)
-                .orElse(NO_DEADLINE);
-        Duration time = callerTime.compareTo(route.timeout()) < 0 ? callerTime : route.timeout();
+                .orElse(DEFAULT_TIMEOUT);
+        Duration timeout = callerTimeout.compareTo(route.timeout()) < 0 ? callerTimeout : route.timeout();
         int rank = head.team().flatMap(Team::priority).orElse(route.priority());
-        TokenCounts tokens = TokenCounts.read(r.headers());
+        TokenCounts tokens = TokenCounts.parse(callerRequest.headers());
         return new GatewayRequest(
-                nextRequest++,
+                nextRequestId++,
                 route,
                 route.service(random.nextDouble()),
                 head.team().map(Team::name).orElse(""),
                 rank,
                 tokens.prompt(),
-                tokens.answer(),
-                waitEstimator.estimateWait(route.name(), time),
+                tokens.completion(),
+                waitEstimator.estimateWait(route.name(), timeout),
                 now,
-                now + time.toNanos());
+                now + timeout.toNanos());
     }
 
     private void handle(GatewayEvent event) {
         for (GatewayAction action : dispatcher.handle(event, System.nanoTime())) {
             switch (action) {
-                case GatewayAction.Send s -> send(s);
-                case GatewayAction.Cancel c -> cancel(c.attempt());
-                case GatewayAction.Deliver d -> deliver(d);
-                case GatewayAction.Refuse r -> refuse(r);
-                case GatewayAction.AbortResponse b -> breakOff(b);
-                case GatewayAction.QuerySpeeds a -> a.upstreams().forEach(this::askSpeed);
-                case GatewayAction.GroupStateChanged n -> log.groupNoted(n);
+                case GatewayAction.Send s -> sendAttempt(s);
+                case GatewayAction.Cancel c -> cancelAttempt(c.attempt());
+                case GatewayAction.Deliver d -> deliverResponse(d);
+                case GatewayAction.Refuse r -> refuseRequest(r);
+                case GatewayAction.AbortResponse b -> abortResponse(b);
+                case GatewayAction.QuerySpeeds a -> a.upstreams().forEach(this::querySpeed);
+                case GatewayAction.GroupStateChanged n -> log.logGroupState(n);
             }
         }
     }
 
-    private void send(GatewayAction.Send s) {
-        OpenExchange e = open.get(s.request().id());
-        OptionalLong resumeAfter = s.request().route().retrySafety() == Route.RetrySafety.RESUMABLE
-                ? e.events.lastId()
+    private void sendAttempt(GatewayAction.Send send) {
+        OpenExchange exchange = openById.get(send.request().id());
+        OptionalLong resumeAfter = send.request().route().retrySafety() == Route.RetrySafety.RESUMABLE
+                ? exchange.events.lastId()
                 : OptionalLong.empty();
-        e.events.dropRest();
-        e.attempts++;
-        e.waited = e.waited.or(() -> Optional.of(Duration.ofNanos(age(e))));
-        Route route = s.request().route();
-        UpstreamAttempt a = new UpstreamAttempt(
-                s.attempt(),
-                s.upstream(),
-                ForwardedRequest.build(e.caller, s, resumeAfter),
-                Optional.ofNullable(e.caller.headers().get(PlatformHeaders.ATTEMPT_ID))
+        exchange.events.dropRest();
+        exchange.attempts++;
+        exchange.timeToFirstAttempt =
+                exchange.timeToFirstAttempt.or(() -> Optional.of(Duration.ofNanos(ageNanos(exchange))));
+        Route route = send.request().route();
+        UpstreamAttempt attempt = new UpstreamAttempt(
+                send.attempt(),
+                send.upstream(),
+                UpstreamRequestBuilder.build(exchange.caller, send, resumeAfter),
+                Optional.ofNullable(exchange.caller.headers().get(PlatformHeaders.ATTEMPT_ID))
                         .orElse(""),
                 route.streaming(),
                 !route.isRetryable());
-        e.attempt = Optional.of(a);
-        byAttempt.put(a.number(), e);
-        metrics.attempt(s.request().service());
-        log.sent(e, a, s.remaining());
-        connections.send(a);
+        exchange.attempt = Optional.of(attempt);
+        openByAttempt.put(attempt.number(), exchange);
+        metrics.recordAttempt(send.request().service());
+        log.logRetry(exchange, attempt, send.remaining());
+        connections.send(attempt);
     }
 
-    private void askSpeed(ListedUpstream u) {
-        reports.read(u, report -> report.ifPresent(r -> told(u, r)));
+    private void querySpeed(ListedUpstream upstream) {
+        reports.read(upstream, report -> report.ifPresent(r -> handleSpeedReport(upstream, r)));
     }
 
-    private void told(ListedUpstream u, RankReport r) {
-        double before = Optional.ofNullable(speeds.put(u.id(), r.slowness())).orElse(1.0);
-        if (Math.abs(r.slowness() - before) > NOTED_SPEED_CHANGE) {
-            log.speedTold(u.id(), before, r.slowness());
+    private void handleSpeedReport(ListedUpstream upstream, RankReport report) {
+        double before = Optional.ofNullable(slownessByUpstream.put(upstream.id(), report.slowness()))
+                .orElse(1.0);
+        if (Math.abs(report.slowness() - before) > MIN_LOGGED_SLOWNESS_CHANGE) {
+            log.logSpeedChange(upstream.id(), before, report.slowness());
         }
-        handle(new GatewayEvent.SpeedReported(u.id(), r.slowness()));
+        handle(new GatewayEvent.SpeedReported(upstream.id(), report.slowness()));
     }
 
-    private void cancel(long attempt) {
-        OpenExchange e = byAttempt.remove(attempt);
-        if (e != null) {
-            e.attempt.ifPresent(connections::cancel);
-            e.attempt = Optional.empty();
+    private void cancelAttempt(long attempt) {
+        OpenExchange exchange = openByAttempt.remove(attempt);
+        if (exchange != null) {
+            exchange.attempt.ifPresent(connections::cancel);
+            exchange.attempt = Optional.empty();
         }
     }
 
-    private void begin(OpenExchange e, AnswerHead head) {
-        if (e.begun) {
+    private void startResponse(OpenExchange exchange, AnswerHead head) {
+        if (exchange.responseStarted) {
             return;
         }
-        e.begun = true;
-        metrics.firstByte(e.request.team(), e.request.rank(), age(e));
-        e.caller.connection().begin(head.status(), answerHeaders(head));
+        exchange.responseStarted = true;
+        metrics.recordFirstByte(exchange.request.team(), exchange.request.rank(), ageNanos(exchange));
+        exchange.caller.connection().begin(head.status(), responseHeaders(head));
     }
 
-    private void deliver(GatewayAction.Deliver d) {
-        OpenExchange e = close(d.request());
-        UpstreamAttempt a = e.attempt.orElseThrow();
-        AnswerHead head = a.head().orElseThrow();
-        finished(e, "delivered", Integer.toString(head.status()));
-        if (e.begun) {
-            e.caller.connection().endWhole();
+    private void deliverResponse(GatewayAction.Deliver deliver) {
+        OpenExchange exchange = removeExchange(deliver.request());
+        UpstreamAttempt attempt = exchange.attempt.orElseThrow();
+        AnswerHead head = attempt.head().orElseThrow();
+        recordRequestEnd(exchange, "delivered", Integer.toString(head.status()));
+        if (exchange.responseStarted) {
+            exchange.caller.connection().endWhole();
         } else {
-            e.caller.connection().answer(head.status(), answerHeaders(head), a.body());
+            exchange.caller.connection().answer(head.status(), responseHeaders(head), attempt.body());
         }
     }
 
-    private void refuse(GatewayAction.Refuse r) {
-        OpenExchange e = close(r.request());
-        finished(e, r.verdict().headerValue(), Refusals.reason(r.verdict()));
-        Refusals.send(e.caller, r.verdict());
+    private void refuseRequest(GatewayAction.Refuse refuse) {
+        OpenExchange exchange = removeExchange(refuse.request());
+        recordRequestEnd(exchange, refuse.verdict().headerValue(), Refusals.reasonKey(refuse.verdict()));
+        Refusals.send(exchange.caller, refuse.verdict());
     }
 
-    private void breakOff(GatewayAction.AbortResponse b) {
-        OpenExchange e = close(b.request());
-        finished(e, "broken-off", Refusals.reason(b.verdict()));
-        e.caller.connection().breakOff();
+    private void abortResponse(GatewayAction.AbortResponse abort) {
+        OpenExchange exchange = removeExchange(abort.request());
+        recordRequestEnd(exchange, "broken-off", Refusals.reasonKey(abort.verdict()));
+        exchange.caller.connection().breakOff();
     }
 
-    private OpenExchange close(long id) {
-        OpenExchange e = open.remove(id);
-        ids.remove(e.caller);
-        return e;
+    private OpenExchange removeExchange(long id) {
+        OpenExchange exchange = openById.remove(id);
+        idByRequest.remove(exchange.caller);
+        return exchange;
     }
 
-    private void finished(OpenExchange e, String outcome, String reason) {
-        log.ended(e, outcome, reason, table.version());
-        metrics.ended(e.request.service(), e.request.team(), e.request.rank(), outcome, reason, age(e));
+    private void recordRequestEnd(OpenExchange exchange, String outcome, String reason) {
+        log.logRequestEnd(exchange, outcome, reason, table.version());
+        metrics.recordRequestEnd(
+                exchange.request.service(),
+                exchange.request.team(),
+                exchange.request.rank(),
+                outcome,
+                reason,
+                ageNanos(exchange));
     }
 
-    private static HttpHeaders answerHeaders(AnswerHead head) {
-        return ForwardedRequest.endToEnd(head.headers());
+    private static HttpHeaders responseHeaders(AnswerHead head) {
+        return UpstreamRequestBuilder.copyEndToEnd(head.headers());
     }
 
-    private static long age(OpenExchange e) {
-        return System.nanoTime() - e.request.arrivedNanos();
+    private static long ageNanos(OpenExchange exchange) {
+        return System.nanoTime() - exchange.request.arrivedNanos();
     }
 }
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/OpenExchange.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/OpenExchange.java
@@ -9,18 +9,18 @@
 import org.citrontide.gateway.upstream.UpstreamAttempt;
 
 /**
- * A caller's request without a final answer, and its latest attempt. Not thread-safe: owned by the event loop.
+ * A caller's request without a final response, and its latest attempt. Not thread-safe: owned by the event loop.
  */
 final class OpenExchange {
     final CallerRequest caller;
     final GatewayRequest request;
     final EventCutter events = new EventCutter();
     Optional<UpstreamAttempt> attempt = Optional.empty();
-    boolean begun;
+    boolean responseStarted;
     int attempts;
 
-    /** Time from the arrival to the first attempt, once there was one. */
-    Optional<Duration> waited = Optional.empty();
+    /** Time from the arrival of the request to its first attempt, empty before that. */
+    Optional<Duration> timeToFirstAttempt = Optional.empty();
 
     OpenExchange(CallerRequest caller, GatewayRequest request) {
         this.caller = caller;
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/Refusals.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/Refusals.java
@@ -13,34 +13,34 @@
 import org.citrontide.platform.PlatformHeaders;
 
 /**
- * Writes the gateway's own answers.
+ * Sends the responses that the gateway itself generates for requests that it refuses.
  *
- * <p>Invariant: 503 and 429 are sent only for requests that certainly did not run and never will; what may have run
- * gets 502 or 504. Stateless.
+ * <p>Invariant: 503 and 429 are sent only for requests that certainly did not run and never will; requests that may
+ * have run are answered with 502 or 504. Stateless.
  */
 final class Refusals {
-    private static final String VERDICT = "Citrontide-Verdict";
+    private static final String VERDICT_HEADER = "Citrontide-Verdict";
     private static final int UNAVAILABLE = 503;
     private static final int BAD_GATEWAY = 502;
     private static final int GATEWAY_TIMEOUT = 504;
-    private static final double MILLIS = 1000;
+    private static final double MILLIS_PER_SECOND = 1000;
 
     private Refusals() {}
 
-    static void send(CallerRequest r, Verdict verdict) {
-        HttpHeaders h = new DefaultHttpHeaders();
-        h.set(HttpHeaderNames.CONTENT_TYPE, "application/problem+json");
-        h.set(VERDICT, verdict.headerValue());
-        String attempt = r.headers().get(PlatformHeaders.ATTEMPT_ID);
-        if (attempt != null) {
-            h.set(PlatformHeaders.ATTEMPT_ID, attempt);
+    static void send(CallerRequest request, Verdict verdict) {
+        HttpHeaders headers = new DefaultHttpHeaders();
+        headers.set(HttpHeaderNames.CONTENT_TYPE, "application/problem+json");
+        headers.set(VERDICT_HEADER, verdict.headerValue());
+        String attemptId = request.headers().get(PlatformHeaders.ATTEMPT_ID);
+        if (attemptId != null) {
+            headers.set(PlatformHeaders.ATTEMPT_ID, attemptId);
         }
-        if (verdict instanceof Verdict.NotRun n && status(verdict) == UNAVAILABLE) {
-            h.set(HttpHeaderNames.RETRY_AFTER, seconds(n.retryAfter()));
+        if (verdict instanceof Verdict.NotRun notRun && status(verdict) == UNAVAILABLE) {
+            headers.set(HttpHeaderNames.RETRY_AFTER, formatSeconds(notRun.retryAfter()));
         }
-        String body = "{\"status\":" + status(verdict) + ",\"title\":\"" + reason(verdict) + "\",\"verdict\":\""
+        String body = "{\"status\":" + status(verdict) + ",\"title\":\"" + reasonKey(verdict) + "\",\"verdict\":\""
                 + verdict.headerValue() + "\"}\n";
-        r.connection().answer(status(verdict), h, body.getBytes(StandardCharsets.UTF_8));
+        request.connection().answer(status(verdict), headers, body.getBytes(StandardCharsets.UTF_8));
     }
 
     static int status(Verdict verdict) {
@@ -56,7 +56,7 @@
         };
     }
 
-    static String reason(Verdict verdict) {
+    static String reasonKey(Verdict verdict) {
         return switch (verdict) {
             case Verdict.Completed c -> "none";
             case Verdict.NotRun n -> n.reason().key();
@@ -64,7 +64,7 @@
         };
     }
 
-    private static String seconds(Duration d) {
-        return String.format(Locale.ROOT, "%.2f", Math.max(1, d.toMillis()) / MILLIS);
+    private static String formatSeconds(Duration d) {
+        return String.format(Locale.ROOT, "%.2f", Math.max(1, d.toMillis()) / MILLIS_PER_SECOND);
     }
 }
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/RequestLog.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/RequestLog.java
@@ -12,95 +12,101 @@
 import org.citrontide.runtime.log.LogRateLimiter;
 
 /**
- * Writes the lines on requests, within a bound for each second.
+ * Logs events of requests, with a limit on the number of lines per second.
  *
- * <p>Invariant: lines on what went wrong have a budget of their own, which lines on what went well can't use up. Not
- * thread-safe: owned by the event loop.
+ * <p>Invariant: failures and successful requests have separate rate limits, so that log lines of successful requests
+ * can't suppress those of failures. Not thread-safe: owned by the event loop.
  */
 final class RequestLog {
     private static final EventLog LOG = EventLog.of(RequestLog.class);
-    // Ten times the requests of an ordinary second at one gateway; beyond it a sample tells as much.
+    // Ten times the usual request rate of one gateway; above it, a sample is as informative.
     private static final int LINES_PER_SECOND = 100;
 
-    private final LogRateLimiter ordinary = new LogRateLimiter(LINES_PER_SECOND);
-    private final LogRateLimiter trouble = new LogRateLimiter(LINES_PER_SECOND);
+    private final LogRateLimiter successLimiter = new LogRateLimiter(LINES_PER_SECOND);
+    private final LogRateLimiter failureLimiter = new LogRateLimiter(LINES_PER_SECOND);
 
-    void refusedByFilter(CallerRequest r, long version, Verdict verdict) {
-        if (trouble.tryAcquire(System.nanoTime())) {
+    void logFilterRefusal(CallerRequest request, long version, Verdict verdict) {
+        if (failureLimiter.tryAcquire(System.nanoTime())) {
             LOG.info("request-refused")
-                    .with("id", id(r))
-                    .with("target", r.target())
+                    .with("id", attemptId(request))
+                    .with("target", request.target())
                     .with("configuration", version)
                     .with("verdict", verdict.headerValue())
-                    .with("reason", Refusals.reason(verdict))
+                    .with("reason", Refusals.reasonKey(verdict))
                     .write();
         }
     }
 
-    void sent(OpenExchange e, UpstreamAttempt a, Duration remaining) {
-        if (e.attempts > 1 && trouble.tryAcquire(System.nanoTime())) {
+    void logRetry(OpenExchange exchange, UpstreamAttempt attempt, Duration remaining) {
+        if (exchange.attempts > 1 && failureLimiter.tryAcquire(System.nanoTime())) {
             LOG.info("attempt-repeated")
-                    .with("id", id(e.caller))
-                    .with("attempt", e.attempts)
-                    .with("upstream", a.upstream().id())
+                    .with("id", attemptId(exchange.caller))
+                    .with("attempt", exchange.attempts)
+                    .with("upstream", attempt.upstream().id())
                     .with("remaining-ms", remaining.toMillis())
                     .with(
                             "resume-after",
-                            e.events.lastId().isPresent() ? e.events.lastId().getAsLong() : "none")
+                            exchange.events.lastId().isPresent()
+                                    ? exchange.events.lastId().getAsLong()
+                                    : "none")
                     .write();
         }
     }
 
-    void attemptEnded(OpenExchange e, UpstreamAttempt a, AttemptOutcome outcome) {
-        if (!(outcome instanceof AttemptOutcome.Completed) && trouble.tryAcquire(System.nanoTime())) {
+    void logAttemptEnd(OpenExchange exchange, UpstreamAttempt attempt, AttemptOutcome outcome) {
+        if (!(outcome instanceof AttemptOutcome.Completed) && failureLimiter.tryAcquire(System.nanoTime())) {
             LOG.info("attempt-failed")
-                    .with("id", id(e.caller))
-                    .with("service", e.request.service())
-                    .with("upstream", a.upstream().id())
+                    .with("id", attemptId(exchange.caller))
+                    .with("service", exchange.request.service())
+                    .with("upstream", attempt.upstream().id())
                     .with(
                             "status",
-                            a.head().map(h -> Integer.toString(h.status())).orElse("none"))
+                            attempt.head()
+                                    .map(head -> Integer.toString(head.status()))
+                                    .orElse("none"))
                     .with("outcome", outcome)
-                    .with("age-ms", ageMillis(e))
+                    .with("age-ms", ageMillis(exchange))
                     .write();
         }
     }
 
-    void ended(OpenExchange e, String outcome, String reason, long version) {
-        LogRateLimiter budget = outcome.equals("delivered") ? ordinary : trouble;
-        if (!budget.tryAcquire(System.nanoTime())) {
+    void logRequestEnd(OpenExchange exchange, String outcome, String reason, long version) {
+        LogRateLimiter limiter = outcome.equals("delivered") ? successLimiter : failureLimiter;
+        if (!limiter.tryAcquire(System.nanoTime())) {
             return;
         }
-        long left = ordinary.getAndResetSuppressed() + trouble.getAndResetSuppressed();
+        long suppressed = successLimiter.getAndResetSuppressed() + failureLimiter.getAndResetSuppressed();
         EventLog.Line line = LOG.info("request-ended")
-                .with("id", id(e.caller))
-                .with("route", e.request.route().name())
-                .with("service", e.request.service())
-                .with("team", e.request.team())
-                .with("rank", e.request.rank())
-                .with("upstream", e.attempt.map(a -> a.upstream().id()).orElse("none"))
-                .with("attempts", e.attempts)
+                .with("id", attemptId(exchange.caller))
+                .with("route", exchange.request.route().name())
+                .with("service", exchange.request.service())
+                .with("team", exchange.request.team())
+                .with("rank", exchange.request.rank())
+                .with("upstream", exchange.attempt.map(a -> a.upstream().id()).orElse("none"))
+                .with("attempts", exchange.attempts)
                 .with(
                         "waited-ms",
-                        e.waited.map(w -> Long.toString(w.toMillis())).orElse("none"))
+                        exchange.timeToFirstAttempt
+                                .map(wait -> Long.toString(wait.toMillis()))
+                                .orElse("none"))
                 .with("configuration", version)
                 .with("outcome", outcome)
                 .with("reason", reason)
-                .with("age-ms", ageMillis(e));
-        if (left > 0) {
-            line.with("lines-left-out", left);
+                .with("age-ms", ageMillis(exchange));
+        if (suppressed > 0) {
+            line.with("lines-left-out", suppressed);
         }
         line.write();
     }
 
-    void groupNoted(GatewayAction.GroupStateChanged n) {
-        LOG.info(n.isDown() ? "group-down" : "group-works")
-                .with("service", n.service())
-                .with("waiting", n.waiting())
+    void logGroupState(GatewayAction.GroupStateChanged change) {
+        LOG.info(change.isDown() ? "group-down" : "group-works")
+                .with("service", change.service())
+                .with("waiting", change.waiting())
                 .write();
     }
 
-    void speedTold(String upstream, double before, double slowness) {
+    void logSpeedChange(String upstream, double before, double slowness) {
         LOG.info("upstream-speed")
                 .with("upstream", upstream)
                 .with("before", before)
@@ -108,12 +114,13 @@
                 .write();
     }
 
-    private static String id(CallerRequest r) {
-        String id = r.headers().get(PlatformHeaders.ATTEMPT_ID);
+    private static String attemptId(CallerRequest request) {
+        String id = request.headers().get(PlatformHeaders.ATTEMPT_ID);
         return id == null ? "none" : id;
     }
 
-    private static long ageMillis(OpenExchange e) {
-        return Duration.ofNanos(System.nanoTime() - e.request.arrivedNanos()).toMillis();
+    private static long ageMillis(OpenExchange exchange) {
+        return Duration.ofNanos(System.nanoTime() - exchange.request.arrivedNanos())
+                .toMillis();
     }
 }
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/TokenCounts.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/TokenCounts.java
@@ -7,23 +7,23 @@
 import org.citrontide.platform.PlatformHeaders;
 
 /**
- * Sizes that a caller announces. Immutable.
+ * The token counts that a caller announces in the headers of its request. Immutable.
  *
- * @param prompt tokens of the prompt, 0 if unknown
- * @param answer tokens expected in the answer, 0 if unknown
+ * @param prompt number of prompt tokens, 0 if unknown
+ * @param completion expected number of completion tokens, 0 if unknown
  */
-record TokenCounts(int prompt, int answer) {
+record TokenCounts(int prompt, int completion) {
     private static final Pattern PAIR = Pattern.compile("([0-9]{1,9}),([0-9]{1,9})");
 
-    static TokenCounts read(HttpHeaders headers) {
+    static TokenCounts parse(HttpHeaders headers) {
         String value = headers.get(PlatformHeaders.TOKENS);
         Matcher m = PAIR.matcher(value == null ? "" : value.trim());
         if (!m.matches()) {
             return new TokenCounts(0, 0);
         }
-        int most = Integer.parseInt(m.group(2));
-        long estimate = ForwardedRequest.number(headers, PlatformHeaders.ESTIMATED_ANSWER_TOKENS)
-                .orElse((long) most);
-        return new TokenCounts(Integer.parseInt(m.group(1)), (int) Math.min(most, estimate));
+        int maxCompletion = Integer.parseInt(m.group(2));
+        long estimate = UpstreamRequestBuilder.parseNumber(headers, PlatformHeaders.ESTIMATED_ANSWER_TOKENS)
+                .orElse((long) maxCompletion);
+        return new TokenCounts(Integer.parseInt(m.group(1)), (int) Math.min(maxCompletion, estimate));
     }
 }
