--- a/gateway/src/main/java/org/citrontide/gateway/filter/ApiKeyFilter.java
+++ b/gateway/src/main/java/org/citrontide/gateway/filter/ApiKeyFilter.java
@@ -5,8 +5,8 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import org.citrontide.core.verdict.Reason;
 
-/** Finds the team by the caller's key, and refuses callers without one on routes that aren't public. */
-final class KeyFilter implements GatewayFilter {
+/** Looks up the team by the API key, and refuses requests without a valid key on routes that aren't public. */
+final class ApiKeyFilter implements GatewayFilter {
     private static final String SCHEME = "Bearer ";
 
     @Override
@@ -15,8 +15,9 @@
             return Optional.empty();
         }
         head.setTeam(head.header(HttpHeaderNames.AUTHORIZATION)
-                .filter(a -> a.regionMatches(true, 0, SCHEME, 0, SCHEME.length()))
-                .flatMap(a -> head.table().team(a.substring(SCHEME.length()).trim())));
+                .filter(value -> value.regionMatches(true, 0, SCHEME, 0, SCHEME.length()))
+                .flatMap(value ->
+                        head.table().team(value.substring(SCHEME.length()).trim())));
         boolean isAllowed = head.team().isPresent() || head.route().isPublic();
         return isAllowed ? Optional.empty() : Optional.of(Reason.UNAUTHENTICATED);
     }
--- a/gateway/src/main/java/org/citrontide/gateway/filter/ConfigurationFilter.java
+++ b/gateway/src/main/java/org/citrontide/gateway/filter/ConfigurationFilter.java
@@ -4,7 +4,10 @@
 
 import org.citrontide.core.verdict.Reason;
 
-/** Refuses requests as long as no configuration is known, since routes and keys can't be told from unknown ones. */
+/**
+ * Refuses requests before the first configuration is in force, since valid routes and keys can't yet be distinguished
+ * from unknown ones.
+ */
 final class ConfigurationFilter implements GatewayFilter {
     @Override
     public Optional<Reason> check(RequestHead head) {
--- a/gateway/src/main/java/org/citrontide/gateway/filter/RequestHead.java
+++ b/gateway/src/main/java/org/citrontide/gateway/filter/RequestHead.java
@@ -9,7 +9,7 @@
 import org.citrontide.core.routes.Team;
 
 /**
- * A caller's request on its way through the filters, which fill in its route and team.
+ * The head of a caller's request with the route and team that the filters look up.
  *
  * <p>Not thread-safe: owned by the gateway's event loop.
  */
@@ -21,7 +21,7 @@
     private Optional<Team> team = Optional.empty();
 
     /**
-     * Makes a head.
+     * Creates a head without a route and team.
      *
      * @param target path and query
      * @param headers header fields
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Returns the route, once it was found.
+     * Returns the route; call only after the filters passed the request.
      *
      * @return the route
      */
@@ -45,7 +45,7 @@
     /**
      * Returns the team that holds the caller's key.
      *
-     * @return the team, if the caller sent a key that a team holds
+     * @return the team, or empty if the caller sent no key or one that no team holds
      */
     public Optional<Team> team() {
         return team;
@@ -67,11 +67,11 @@
         return headers.getAll(HttpHeaderNames.HOST).size() == 1 ? header(HttpHeaderNames.HOST) : Optional.empty();
     }
 
-    void setRoute(Route r) {
-        route = Optional.of(r);
+    void setRoute(Route newRoute) {
+        route = Optional.of(newRoute);
     }
 
-    void setTeam(Optional<Team> t) {
-        team = t;
+    void setTeam(Optional<Team> newTeam) {
+        team = newTeam;
     }
 }
