--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
@@ -29,11 +29,11 @@
 import org.citrontide.gateway.filter.GatewayFilter;
 import org.citrontide.gateway.filter.RequestHead;
 import org.citrontide.gateway.store.HttpCaller;
-import org.citrontide.gateway.upstream.AnswerHead;
 import org.citrontide.gateway.upstream.AttemptListener;
 import org.citrontide.gateway.upstream.ReportReader;
+import org.citrontide.gateway.upstream.ResponseHead;
 import org.citrontide.gateway.upstream.UpstreamAttempt;
-import org.citrontide.gateway.upstream.UpstreamConnections;
+import org.citrontide.gateway.upstream.UpstreamConnectionPool;
 import org.citrontide.platform.PlatformHeaders;
 
 /**
@@ -50,7 +50,7 @@
     private static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(60);
 
     private final GatewayDispatcher dispatcher;
-    private final UpstreamConnections connections;
+    private final UpstreamConnectionPool connectionPool;
     private final ReportReader reports;
     private final RandomGenerator random;
     private final GatewayMetrics metrics;
@@ -75,7 +75,7 @@
      */
     public GatewayShell(GatewayDispatcher dispatcher, EventLoop loop, RandomGenerator random, GatewayMetrics metrics) {
         this.dispatcher = dispatcher;
-        this.connections = new UpstreamConnections(loop, this);
+        this.connectionPool = new UpstreamConnectionPool(loop, this);
         this.reports = new ReportReader(new HttpCaller(loop));
         this.random = random;
         this.metrics = metrics;
@@ -172,15 +172,15 @@
     }
 
     @Override
-    public void streamed(UpstreamAttempt attempt, byte[] data) {
+    public void dataReceived(UpstreamAttempt attempt, byte[] data) {
         OpenExchange exchange = findExchange(attempt);
         if (exchange == null) {
             return;
         }
-        byte[] events = exchange.events.add(data);
-        if (exchange.events.hasGap()) {
-            connections.cancel(attempt);
-            ended(attempt, new AttemptOutcome.Broken(Reason.ANSWER_BROKEN));
+        byte[] events = exchange.eventMerger.add(data);
+        if (exchange.eventMerger.hasGap()) {
+            connectionPool.cancel(attempt);
+            attemptEnded(attempt, new AttemptOutcome.Broken(Reason.ANSWER_BROKEN));
             return;
         }
         handle(new GatewayEvent.ResponseProgress(attempt.number(), exchange.responseStarted || events.length > 0));
@@ -192,14 +192,14 @@
     }
 
     @Override
-    public void ended(UpstreamAttempt attempt, AttemptOutcome outcome) {
+    public void attemptEnded(UpstreamAttempt attempt, AttemptOutcome outcome) {
         OpenExchange exchange = findExchange(attempt);
         if (exchange == null) {
             return;
         }
         boolean isTruncated = attempt.head().isPresent()
                 && outcome instanceof AttemptOutcome.Completed
-                && !exchange.events.isBetweenEvents();
+                && !exchange.eventMerger.isAtEventBoundary();
         AttemptOutcome finalOutcome = isTruncated ? new AttemptOutcome.Broken(Reason.ANSWER_BROKEN) : outcome;
         openByAttempt.remove(attempt.number());
         log.logAttemptEnd(exchange, attempt, finalOutcome);
@@ -255,9 +255,9 @@
     private void sendAttempt(GatewayAction.Send send) {
         OpenExchange exchange = openById.get(send.request().id());
         OptionalLong resumeAfter = send.request().route().retrySafety() == Route.RetrySafety.RESUMABLE
-                ? exchange.events.lastId()
+                ? exchange.eventMerger.lastEventId()
                 : OptionalLong.empty();
-        exchange.events.dropRest();
+        exchange.eventMerger.discardPartialEvent();
         exchange.attempts++;
         exchange.timeToFirstAttempt =
                 exchange.timeToFirstAttempt.or(() -> Optional.of(Duration.ofNanos(ageNanos(exchange))));
@@ -274,7 +274,7 @@
         openByAttempt.put(attempt.number(), exchange);
         metrics.recordAttempt(send.request().service());
         log.logRetry(exchange, attempt, send.remaining());
-        connections.send(attempt);
+        connectionPool.send(attempt);
     }
 
     private void querySpeed(ListedUpstream upstream) {
@@ -293,12 +293,12 @@
     private void cancelAttempt(long attempt) {
         OpenExchange exchange = openByAttempt.remove(attempt);
         if (exchange != null) {
-            exchange.attempt.ifPresent(connections::cancel);
+            exchange.attempt.ifPresent(connectionPool::cancel);
             exchange.attempt = Optional.empty();
         }
     }
 
-    private void startResponse(OpenExchange exchange, AnswerHead head) {
+    private void startResponse(OpenExchange exchange, ResponseHead head) {
         if (exchange.responseStarted) {
             return;
         }
@@ -310,7 +310,7 @@
     private void deliverResponse(GatewayAction.Deliver deliver) {
         OpenExchange exchange = removeExchange(deliver.request());
         UpstreamAttempt attempt = exchange.attempt.orElseThrow();
-        AnswerHead head = attempt.head().orElseThrow();
+        ResponseHead head = attempt.head().orElseThrow();
         recordRequestEnd(exchange, "delivered", Integer.toString(head.status()));
         if (exchange.responseStarted) {
             exchange.caller.connection().endWhole();
@@ -348,7 +348,7 @@
                 ageNanos(exchange));
     }
 
-    private static HttpHeaders responseHeaders(AnswerHead head) {
+    private static HttpHeaders responseHeaders(ResponseHead head) {
         return UpstreamRequestBuilder.copyEndToEnd(head.headers());
     }
 
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/OpenExchange.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/OpenExchange.java
@@ -5,7 +5,7 @@
 
 import org.citrontide.core.gateway.GatewayRequest;
 import org.citrontide.gateway.caller.CallerRequest;
-import org.citrontide.gateway.upstream.EventCutter;
+import org.citrontide.gateway.upstream.EventStreamMerger;
 import org.citrontide.gateway.upstream.UpstreamAttempt;
 
 /**
@@ -14,7 +14,7 @@
 final class OpenExchange {
     final CallerRequest caller;
     final GatewayRequest request;
-    final EventCutter events = new EventCutter();
+    final EventStreamMerger eventMerger = new EventStreamMerger();
     Optional<UpstreamAttempt> attempt = Optional.empty();
     boolean responseStarted;
     int attempts;
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/RequestLog.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/RequestLog.java
@@ -46,8 +46,8 @@
                     .with("remaining-ms", remaining.toMillis())
                     .with(
                             "resume-after",
-                            exchange.events.lastId().isPresent()
-                                    ? exchange.events.lastId().getAsLong()
+                            exchange.eventMerger.lastEventId().isPresent()
+                                    ? exchange.eventMerger.lastEventId().getAsLong()
                                     : "none")
                     .write();
         }
--- a/gateway/src/main/java/org/citrontide/gateway/upstream/AttemptListener.java
+++ b/gateway/src/main/java/org/citrontide/gateway/upstream/AttemptListener.java
@@ -2,22 +2,22 @@
 
 import org.citrontide.core.gateway.AttemptOutcome;
 
-/** Hears of the progress of attempts. Called on the event loop. */
+/** Receives the progress of attempts. Called on the event loop. */
 public interface AttemptListener {
 
     /**
-     * Bytes of a streamed answer arrived.
+     * Handles bytes of a streamed response.
      *
      * @param attempt the attempt
-     * @param data the bytes
+     * @param data bytes received since the last call
      */
-    void streamed(UpstreamAttempt attempt, byte[] data);
+    void dataReceived(UpstreamAttempt attempt, byte[] data);
 
     /**
-     * An attempt ended.
+     * Handles the end of an attempt.
      *
      * @param attempt the attempt
-     * @param outcome how
+     * @param outcome outcome of the attempt
      */
-    void ended(UpstreamAttempt attempt, AttemptOutcome outcome);
+    void attemptEnded(UpstreamAttempt attempt, AttemptOutcome outcome);
 }
--- /dev/null
+++ b/gateway/src/main/java/org/citrontide/gateway/upstream/EventStreamMerger.java
@@ -0,0 +1,135 @@
+package org.citrontide.gateway.upstream;
+
+import java.io.ByteArrayOutputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.OptionalLong;
+
+/**
+ * Merges the server-sent events that the attempts of one request return into a single stream without duplicates.
+ *
+ * <p>Invariants: the numbers of the returned events increase by one each; no event is returned in part. Not
+ * thread-safe.
+ */
+public final class EventStreamMerger {
+    private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
+
+    private byte[] partialEvent = new byte[0];
+    private OptionalLong lastEventId = OptionalLong.empty();
+    private boolean hasGap;
+
+    /**
+     * Adds bytes of the current attempt.
+     *
+     * @param data bytes received since the last call
+     * @return the complete events that the caller has not received yet, empty if there are none
+     */
+    public byte[] add(byte[] data) {
+        byte[] all = partialEvent.length == 0 ? data : concatenate(partialEvent, data);
+        ByteArrayOutputStream out = new ByteArrayOutputStream(all.length);
+        int start = 0;
+        for (int end = findEventEnd(all, start); end > 0; end = findEventEnd(all, start)) {
+            if (accept(all, start, end)) {
+                out.write(all, start, end - start);
+            }
+            start = end;
+        }
+        partialEvent = Arrays.copyOfRange(all, start, all.length);
+        return out.toByteArray();
+    }
+
+    /** Discards the received part of an incomplete event, which another attempt will send in full. */
+    public void discardPartialEvent() {
+        partialEvent = new byte[0];
+    }
+
+    /**
+     * Returns whether the bytes received so far end with a complete event.
+     *
+     * @return true if there is no incomplete event
+     */
+    public boolean isAtEventBoundary() {
+        return partialEvent.length == 0;
+    }
+
+    /**
+     * Returns whether an event is missing.
+     *
+     * @return true if the stream can't be completed
+     */
+    public boolean hasGap() {
+        return hasGap;
+    }
+
+    /**
+     * Returns the number of the last returned event.
+     *
+     * @return the number, or empty if no event with a number was returned
+     */
+    public OptionalLong lastEventId() {
+        return lastEventId;
+    }
+
+    private boolean accept(byte[] all, int start, int end) {
+        OptionalLong id = parseId(all, start, end);
+        if (id.isEmpty()) {
+            return true;
+        }
+        if (lastEventId.isPresent() && id.getAsLong() <= lastEventId.getAsLong()) {
+            return false;
+        }
+        hasGap |= lastEventId.isPresent() && id.getAsLong() != lastEventId.getAsLong() + 1;
+        if (!hasGap) {
+            lastEventId = id;
+        }
+        return !hasGap;
+    }
+
+    /** Returns the position after the blank line that ends the event, or -1 if the event is incomplete. */
+    private static int findEventEnd(byte[] all, int start) {
+        for (int i = start; i < all.length; i++) {
+            if (all[i] != '\n') {
+                continue;
+            }
+            if (i + 1 < all.length && all[i + 1] == '\n') {
+                return i + 2;
+            }
+            if (i + 2 < all.length && all[i + 1] == '\r' && all[i + 2] == '\n') {
+                return i + 3;
+            }
+        }
+        return -1;
+    }
+
+    private static OptionalLong parseId(byte[] all, int start, int end) {
+        int lineStart = start;
+        while (lineStart < end) {
+            int lineEnd = lineStart;
+            while (lineEnd < end && all[lineEnd] != '\n') {
+                lineEnd++;
+            }
+            if (startsWithIdField(all, lineStart, lineEnd)) {
+                String value = new String(
+                                all,
+                                lineStart + ID_FIELD.length,
+                                lineEnd - lineStart - ID_FIELD.length,
+                                StandardCharsets.US_ASCII)
+                        .trim();
+                return value.matches("[0-9]{1,18}") ? OptionalLong.of(Long.parseLong(value)) : OptionalLong.empty();
+            }
+            lineStart = lineEnd + 1;
+        }
+        return OptionalLong.empty();
+    }
+
+    private static boolean startsWithIdField(byte[] all, int from, int to) {
+        return to - from >= ID_FIELD.length
+                && Arrays.equals(all, from, from + ID_FIELD.length, ID_FIELD, 0, ID_FIELD.length);
+    }
+
+    private static byte[] concatenate(byte[] a, byte[] b) {
+        byte[] all = Arrays.copyOf(a, a.length + b.length);
+        System.arraycopy(b, 0, all, a.length, b.length);
+        return all;
+    }
+}
--- a/gateway/src/main/java/org/citrontide/gateway/upstream/ReportReader.java
+++ b/gateway/src/main/java/org/citrontide/gateway/upstream/ReportReader.java
@@ -13,17 +13,17 @@
 import org.citrontide.platform.EngineCalls;
 import org.citrontide.runtime.log.EventLog;
 
-/** Reads what engines report of themselves. Not thread-safe: owned by the event loop. */
+/** Reads the reports of engines on their own state. Not thread-safe: owned by the event loop. */
 public final class ReportReader {
     private static final EventLog LOG = EventLog.of(ReportReader.class);
-    // Several round trips between zones.
+    // Allows for several round trips between zones.
     private static final Duration TIMEOUT = Duration.ofMillis(250);
     private static final int OK = 200;
 
     private final HttpCaller caller;
 
     /**
-     * Makes a reader.
+     * Creates a reader.
      *
      * @param caller sends calls to the upstreams
      */
@@ -34,24 +34,25 @@
     /**
      * Reads the report of one engine.
      *
-     * @param u the engine
-     * @param then takes the report, or nothing if the engine did not answer or is a member of no group
+     * @param upstream the engine
+     * @param callback receives the report, or empty if the engine did not respond with a readable report or belongs to
+     *     no group
      */
-    public void read(ListedUpstream u, Consumer<Optional<RankReport>> then) {
+    public void read(ListedUpstream upstream, Consumer<Optional<RankReport>> callback) {
         caller.call(
-                        new InetSocketAddress(u.host(), u.port()),
-                        EngineCalls.readReport().onlyFor(u.id()),
+                        new InetSocketAddress(upstream.host(), upstream.port()),
+                        EngineCalls.readReport().onlyFor(upstream.id()),
                         TIMEOUT)
-                .whenComplete((reply, failure) -> then.accept(
-                        Optional.ofNullable(reply).filter(r -> r.status() == OK).flatMap(r -> decode(u, r))));
+                .whenComplete((reply, failure) -> callback.accept(
+                        Optional.ofNullable(reply).filter(r -> r.status() == OK).flatMap(r -> decode(upstream, r))));
     }
 
-    private static Optional<RankReport> decode(ListedUpstream u, HttpReply reply) {
+    private static Optional<RankReport> decode(ListedUpstream upstream, HttpReply reply) {
         try {
             return EngineCalls.report(reply.body());
         } catch (DecodeException e) {
             LOG.warn("engine-answer-unreadable")
-                    .with("upstream", u.id())
+                    .with("upstream", upstream.id())
                     .with("why", e.getMessage())
                     .write();
             return Optional.empty();
--- a/gateway/src/main/java/org/citrontide/gateway/upstream/AnswerClassifier.java
+++ b/gateway/src/main/java/org/citrontide/gateway/upstream/ResponseClassifier.java
@@ -9,22 +9,22 @@
 import org.citrontide.core.verdict.Reason;
 import org.citrontide.platform.PlatformHeaders;
 
-/** Tells from the head of a whole answer what became of the request. Stateless. */
-final class AnswerClassifier {
+/** Derives the outcome of an attempt from the head of its complete response. Stateless. */
+final class ResponseClassifier {
     private static final int BAD_REQUEST = 400;
     private static final int MISDIRECTED = 421;
     private static final int SERVER_ERROR = 500;
-    private static final int MILLIS = 1000;
+    private static final int MILLIS_PER_SECOND = 1000;
 
-    private AnswerClassifier() {}
+    private ResponseClassifier() {}
 
-    static AttemptOutcome classify(AnswerHead head) {
-        HttpHeaders h = head.headers();
-        boolean notRun = h.contains(PlatformHeaders.NOT_RUN) || head.status() == MISDIRECTED;
-        if (notRun && head.status() != BAD_REQUEST) {
-            return new AttemptOutcome.Rejected(cause(head), retryAfterMillis(h));
+    static AttemptOutcome classify(ResponseHead head) {
+        HttpHeaders headers = head.headers();
+        boolean isNotRun = headers.contains(PlatformHeaders.NOT_RUN) || head.status() == MISDIRECTED;
+        if (isNotRun && head.status() != BAD_REQUEST) {
+            return new AttemptOutcome.Rejected(cause(head), retryAfterMillis(headers));
         }
-        if (!h.contains(PlatformHeaders.ANSWER_PROOF) && head.status() != BAD_REQUEST) {
+        if (!headers.contains(PlatformHeaders.ANSWER_PROOF) && head.status() != BAD_REQUEST) {
             return new AttemptOutcome.Broken(Reason.ANSWER_BROKEN);
         }
         return head.status() >= SERVER_ERROR
@@ -32,18 +32,18 @@
                 : new AttemptOutcome.Completed(head.status());
     }
 
-    private static Cause cause(AnswerHead head) {
+    private static Cause cause(ResponseHead head) {
         if (head.status() == MISDIRECTED) {
             return Cause.MISDIRECTED;
         }
         return head.headers().contains(PlatformHeaders.MEMBER_AT_FAULT) ? Cause.GROUP_BROKEN : Cause.FULL;
     }
 
-    private static Optional<Long> retryAfterMillis(HttpHeaders h) {
-        String v = h.get(HttpHeaderNames.RETRY_AFTER);
-        if (v == null || !v.matches("[0-9]{1,6}(\\.[0-9]{1,6})?")) {
+    private static Optional<Long> retryAfterMillis(HttpHeaders headers) {
+        String value = headers.get(HttpHeaderNames.RETRY_AFTER);
+        if (value == null || !value.matches("[0-9]{1,6}(\\.[0-9]{1,6})?")) {
             return Optional.empty();
         }
-        return Optional.of((long) (Double.parseDouble(v) * MILLIS));
+        return Optional.of((long) (Double.parseDouble(value) * MILLIS_PER_SECOND));
     }
 }
--- a/gateway/src/main/java/org/citrontide/gateway/upstream/UpstreamAttempt.java
+++ b/gateway/src/main/java/org/citrontide/gateway/upstream/UpstreamAttempt.java
@@ -7,7 +7,7 @@
 import org.citrontide.core.routes.ListedUpstream;
 
 /**
- * One attempt on its way: the request as the upstream gets it, and what came back so far.
+ * One attempt in flight: the request to the upstream, and the response received so far.
  *
  * <p>Not thread-safe: owned by the event loop.
  */
@@ -17,21 +17,21 @@
     private final FullHttpRequest request;
     private final String attemptId;
     private final boolean streaming;
-    private final boolean runsOnce;
+    private final boolean atMostOnce;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private Optional<AnswerHead> head = Optional.empty();
+    private Optional<ResponseHead> head = Optional.empty();
     private Optional<UpstreamConnection> connection = Optional.empty();
-    private boolean over;
+    private boolean ended;
 
     /**
-     * Makes an attempt.
+     * Creates an attempt.
      *
-     * @param number its number
-     * @param upstream where it goes
-     * @param request the request, sent as it is
-     * @param attemptId value that the upstream echoes
-     * @param streaming whether a successful answer is passed on as it comes
-     * @param runsOnce whether the request must not run twice
+     * @param number number of the attempt, unique within a process
+     * @param upstream upstream to send the request to
+     * @param request the request, sent unchanged
+     * @param attemptId attempt ID that the upstream echoes, empty if there is none
+     * @param streaming whether a successful response is passed on while it arrives
+     * @param atMostOnce whether the request must run at most once
      */
     public UpstreamAttempt(
             long number,
@@ -39,46 +39,46 @@
             FullHttpRequest request,
             String attemptId,
             boolean streaming,
-            boolean runsOnce) {
+            boolean atMostOnce) {
         this.number = number;
         this.upstream = upstream;
         this.request = request;
         this.attemptId = attemptId;
         this.streaming = streaming;
-        this.runsOnce = runsOnce;
+        this.atMostOnce = atMostOnce;
     }
 
     /**
-     * Returns the number.
+     * Returns the number of the attempt.
      *
-     * @return number of the attempt
+     * @return number of the attempt, unique within a process
      */
     public long number() {
         return number;
     }
 
     /**
-     * Returns the upstream.
+     * Returns the upstream of the attempt.
      *
-     * @return where it goes
+     * @return the upstream
      */
     public ListedUpstream upstream() {
         return upstream;
     }
 
     /**
-     * Returns status and headers of the answer.
+     * Returns the status and header fields of the response.
      *
-     * @return the head, empty before it came
+     * @return the head, empty until it is received
      */
-    public Optional<AnswerHead> head() {
+    public Optional<ResponseHead> head() {
         return head;
     }
 
     /**
-     * Returns the body of an answer that is not passed on as it comes.
+     * Returns the body of a response that is not streamed.
      *
-     * @return the bytes so far
+     * @return the bytes received so far
      */
     public byte[] body() {
         return body.toByteArray();
@@ -100,23 +100,23 @@
         return streaming;
     }
 
-    boolean runsOnce() {
-        return runsOnce;
+    boolean isAtMostOnce() {
+        return atMostOnce;
     }
 
-    boolean isOver() {
-        return over;
+    boolean isEnded() {
+        return ended;
     }
 
-    void setOver() {
-        over = true;
+    void setEnded() {
+        ended = true;
     }
 
-    void setHead(AnswerHead h) {
-        head = Optional.of(h);
+    void setHead(ResponseHead newHead) {
+        head = Optional.of(newHead);
     }
 
-    void append(byte[] data) {
+    void appendBody(byte[] data) {
         body.writeBytes(data);
     }
 
@@ -124,7 +124,7 @@
         return connection;
     }
 
-    void setConnection(UpstreamConnection c) {
-        connection = Optional.of(c);
+    void setConnection(UpstreamConnection newConnection) {
+        connection = Optional.of(newConnection);
     }
 }
--- a/gateway/src/main/java/org/citrontide/gateway/upstream/UpstreamConnection.java
+++ b/gateway/src/main/java/org/citrontide/gateway/upstream/UpstreamConnection.java
@@ -20,56 +20,59 @@
 /**
  * One connection to an upstream, which carries one attempt at a time.
  *
- * <p>Invariants: an answer counts for the current attempt only if it echoes its identity; bytes that belong to no
- * attempt close the connection; an answer without a length is whole only if the connection ended in order. Not
- * thread-safe: owned by the event loop.
+ * <p>Invariants: a response that echoes the ID of another attempt is skipped; a response without an attempt in flight
+ * closes the connection; a response without a length is complete only if the connection was closed without an error.
+ * Not thread-safe: owned by the event loop.
  */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter {
     private static final String KEEP_ALIVE = "Keep-Alive";
-    // An answer beyond this is no answer of the services that the gateway serves.
+    // No service behind the gateway sends a larger response.
     private static final int MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
     // Leaves time for a request to arrive before the upstream closes the idle connection.
     private static final Duration KEEP_ALIVE_MARGIN = Duration.ofMillis(700);
-    // Used where the upstream announces no time: it may close at any moment.
+    // Used if the upstream announces no timeout, since it may then close an idle connection at any time.
     private static final Duration UNANNOUNCED_KEEP_ALIVE = Duration.ofMillis(300);
 
-    private final UpstreamConnections pool;
-    private final AnswerDecoder decoder;
-    private final String upstream;
+    private final UpstreamConnectionPool pool;
+    private final UpstreamResponseDecoder decoder;
+    private final String poolKey;
     private Channel channel;
     private Optional<UpstreamAttempt> current = Optional.empty();
-    private boolean skipping;
-    private boolean reset;
-    private boolean keptAlive;
+    private boolean skippingResponse;
+    private boolean connectionFailed;
+    private boolean keepAlive;
     private long usableUntilNanos;
-    private boolean announced;
+    private boolean timeoutAnnounced;
 
-    UpstreamConnection(UpstreamConnections pool, AnswerDecoder decoder, String upstream) {
+    UpstreamConnection(UpstreamConnectionPool pool, UpstreamResponseDecoder decoder, String poolKey) {
         this.pool = pool;
         this.decoder = decoder;
-        this.upstream = upstream;
+        this.poolKey = poolKey;
     }
 
-    String upstream() {
-        return upstream;
+    String poolKey() {
+        return poolKey;
     }
 
-    void open(Channel c) {
-        channel = c;
+    void setChannel(Channel newChannel) {
+        channel = newChannel;
     }
 
     void send(UpstreamAttempt attempt) {
         current = Optional.of(attempt);
         attempt.setConnection(this);
-        skipping = false;
-        decoder.expectAnswerTo(attempt.request().method().name());
+        skippingResponse = false;
+        decoder.expectResponseTo(attempt.request().method().name());
         channel.writeAndFlush(attempt.request());
     }
 
-    /** Says whether a request may be sent here; one that runs once needs an announced time and half of it left. */
-    boolean isUsable(boolean runsOnce, long nowNanos) {
-        long needed = runsOnce ? KEEP_ALIVE_MARGIN.toNanos() : 0;
-        return channel.isActive() && (announced || !runsOnce) && usableUntilNanos - nowNanos > needed;
+    /**
+     * Returns whether a request may be sent on this connection. A request that must run at most once requires an
+     * announced timeout of which more than twice the margin remains.
+     */
+    boolean isUsable(boolean atMostOnce, long nowNanos) {
+        long needed = atMostOnce ? KEEP_ALIVE_MARGIN.toNanos() : 0;
+        return channel.isActive() && (timeoutAnnounced || !atMostOnce) && usableUntilNanos - nowNanos > needed;
     }
 
     void close() {
@@ -78,121 +81,123 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object msg) {
+    public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            if (msg instanceof HttpResponse r) {
-                head(r);
+            if (message instanceof HttpResponse response) {
+                handleHead(response);
             }
-            if (msg instanceof HttpContent c) {
-                content(c);
+            if (message instanceof HttpContent content) {
+                handleContent(content);
             }
         } finally {
-            ReferenceCountUtil.release(msg);
+            ReferenceCountUtil.release(message);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        pool.closed(this);
-        fail(Reason.CONNECTION_LOST);
+        pool.remove(this);
+        failAttempt(Reason.CONNECTION_LOST);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        reset = true;
+        connectionFailed = true;
         ctx.close();
     }
 
-    private void head(HttpResponse r) {
-        if (r.decoderResult().isFailure() || current.isEmpty()) {
-            fail(Reason.ANSWER_BROKEN);
+    private void handleHead(HttpResponse response) {
+        if (response.decoderResult().isFailure() || current.isEmpty()) {
+            failAttempt(Reason.ANSWER_BROKEN);
             channel.close();
             return;
         }
-        UpstreamAttempt a = current.get();
-        String echoed = r.headers().get(PlatformHeaders.ATTEMPT_ID);
-        boolean isInterim = r.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-        skipping = isInterim || echoed != null && !echoed.equals(a.attemptId());
-        if (skipping) {
+        UpstreamAttempt attempt = current.get();
+        String echoedAttemptId = response.headers().get(PlatformHeaders.ATTEMPT_ID);
+        boolean isInterim = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+        skippingResponse = isInterim || echoedAttemptId != null && !echoedAttemptId.equals(attempt.attemptId());
+        if (skippingResponse) {
             return;
         }
-        a.setHead(new AnswerHead(r.status().code(), r.headers()));
-        boolean isFramed = HttpUtil.isContentLengthSet(r) || HttpUtil.isTransferEncodingChunked(r);
-        keptAlive = HttpUtil.isKeepAlive(r) && isFramed;
-        noteKeepAlive(r);
+        attempt.setHead(new ResponseHead(response.status().code(), response.headers()));
+        boolean isFramed = HttpUtil.isContentLengthSet(response) || HttpUtil.isTransferEncodingChunked(response);
+        keepAlive = HttpUtil.isKeepAlive(response) && isFramed;
+        updateKeepAlive(response);
     }
 
-    private void content(HttpContent c) {
-        if (c.decoderResult().isFailure()) {
-            fail(Reason.ANSWER_BROKEN);
+    private void handleContent(HttpContent content) {
+        if (content.decoderResult().isFailure()) {
+            failAttempt(Reason.ANSWER_BROKEN);
             channel.close();
             return;
         }
-        boolean isLast = c instanceof LastHttpContent;
-        if (skipping) {
-            skipping = !isLast;
+        boolean isLast = content instanceof LastHttpContent;
+        if (skippingResponse) {
+            skippingResponse = !isLast;
             return;
         }
         if (current.isEmpty() || current.get().head().isEmpty()) {
             return;
         }
-        UpstreamAttempt a = current.get();
-        if (c.content().isReadable()) {
-            take(a, ByteBufUtil.getBytes(c.content()));
+        UpstreamAttempt attempt = current.get();
+        if (content.content().isReadable()) {
+            handleData(attempt, ByteBufUtil.getBytes(content.content()));
         }
-        if (isLast && !a.isOver()) {
-            finish(a);
+        if (isLast && !attempt.isEnded()) {
+            endAttempt(attempt);
         }
     }
 
-    private void take(UpstreamAttempt a, byte[] data) {
-        boolean isSuccess = a.head().orElseThrow().status() / 100 == 2
-                && a.head().get().headers().contains(PlatformHeaders.ANSWER_PROOF);
-        if (a.isStreaming() && isSuccess) {
-            pool.listener().streamed(a, data);
+    private void handleData(UpstreamAttempt attempt, byte[] data) {
+        boolean isSuccess = attempt.head().orElseThrow().status() / 100 == 2
+                && attempt.head().get().headers().contains(PlatformHeaders.ANSWER_PROOF);
+        if (attempt.isStreaming() && isSuccess) {
+            pool.listener().dataReceived(attempt, data);
             return;
         }
-        a.append(data);
-        if (a.bodyLength() > MAX_BUFFERED_BYTES) {
-            fail(Reason.ANSWER_BROKEN);
+        attempt.appendBody(data);
+        if (attempt.bodyLength() > MAX_BUFFERED_BYTES) {
+            failAttempt(Reason.ANSWER_BROKEN);
             channel.close();
         }
     }
 
-    private void finish(UpstreamAttempt a) {
-        if (reset) {
-            fail(Reason.CONNECTION_LOST);
+    private void endAttempt(UpstreamAttempt attempt) {
+        if (connectionFailed) {
+            failAttempt(Reason.CONNECTION_LOST);
             return;
         }
         current = Optional.empty();
-        a.setOver();
-        if (keptAlive && channel.isActive()) {
-            pool.idle(this);
+        attempt.setEnded();
+        if (keepAlive && channel.isActive()) {
+            pool.addIdle(this);
         } else {
             channel.close();
         }
-        pool.listener().ended(a, AnswerClassifier.classify(a.head().orElseThrow()));
+        pool.listener()
+                .attemptEnded(
+                        attempt, ResponseClassifier.classify(attempt.head().orElseThrow()));
     }
 
-    private void fail(Reason reason) {
-        Optional<UpstreamAttempt> a = current;
+    private void failAttempt(Reason reason) {
+        Optional<UpstreamAttempt> attempt = current;
         current = Optional.empty();
-        if (a.isPresent() && !a.get().isOver()) {
-            a.get().setOver();
-            pool.listener().ended(a.get(), new AttemptOutcome.Broken(reason));
+        if (attempt.isPresent() && !attempt.get().isEnded()) {
+            attempt.get().setEnded();
+            pool.listener().attemptEnded(attempt.get(), new AttemptOutcome.Broken(reason));
         }
     }
 
-    private void noteKeepAlive(HttpResponse r) {
-        long now = System.nanoTime();
-        String v = r.headers().get(KEEP_ALIVE);
-        announced = v != null && v.matches(".*timeout=[0-9]{1,6}.*");
-        if (!announced) {
-            usableUntilNanos = now + UNANNOUNCED_KEEP_ALIVE.toNanos();
+    private void updateKeepAlive(HttpResponse response) {
+        long nowNanos = System.nanoTime();
+        String value = response.headers().get(KEEP_ALIVE);
+        timeoutAnnounced = value != null && value.matches(".*timeout=[0-9]{1,6}.*");
+        if (!timeoutAnnounced) {
+            usableUntilNanos = nowNanos + UNANNOUNCED_KEEP_ALIVE.toNanos();
             return;
         }
-        long seconds = Long.parseLong(v.replaceAll(".*timeout=([0-9]+).*", "$1"));
+        long seconds = Long.parseLong(value.replaceAll(".*timeout=([0-9]+).*", "$1"));
         usableUntilNanos =
-                now + Duration.ofSeconds(seconds).minus(KEEP_ALIVE_MARGIN).toNanos();
+                nowNanos + Duration.ofSeconds(seconds).minus(KEEP_ALIVE_MARGIN).toNanos();
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/org/citrontide/gateway/upstream/UpstreamConnectionPool.java
@@ -0,0 +1,150 @@
+package org.citrontide.gateway.upstream;
+
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.Map;
+import java.util.Optional;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.socket.nio.NioSocketChannel;
+import io.netty.handler.codec.http.HttpRequestEncoder;
+import org.citrontide.core.gateway.AttemptOutcome;
+import org.citrontide.core.routes.ListedUpstream;
+
+/**
+ * A pool of connections to upstreams, which opens connections on demand, keeps them for as long as the upstream
+ * announced, and reuses the most recently used one first.
+ *
+ * <p>Invariant: a connection is used only for the upstream that it was opened for, even if the upstream list later
+ * assigns its address to another one. Not thread-safe: owned by the event loop.
+ */
+public final class UpstreamConnectionPool {
+    // Allows for several round trips between zones; a longer timeout only delays the selection of another upstream.
+    private static final int CONNECT_TIMEOUT_MS = 400;
+
+    private final EventLoopGroup loop;
+    private final AttemptListener listener;
+    private final Map<String, Deque<UpstreamConnection>> idleByKey = new HashMap<>();
+    private long openedCount;
+
+    /**
+     * Creates an empty pool.
+     *
+     * @param loop event loop of all connections
+     * @param listener receives the progress of the attempts
+     */
+    public UpstreamConnectionPool(EventLoopGroup loop, AttemptListener listener) {
+        this.loop = loop;
+        this.listener = listener;
+    }
+
+    /**
+     * Sends an attempt on an idle connection if there is a usable one, or else on a new one.
+     *
+     * @param attempt the attempt to send
+     */
+    public void send(UpstreamAttempt attempt) {
+        Optional<UpstreamConnection> idleConnection = pollIdle(attempt);
+        if (idleConnection.isPresent()) {
+            idleConnection.get().send(attempt);
+            return;
+        }
+        connect(attempt);
+    }
+
+    /**
+     * Cancels an attempt and closes its connection, which tells the upstream that the response is no longer needed.
+     *
+     * @param attempt the attempt to cancel
+     */
+    public void cancel(UpstreamAttempt attempt) {
+        attempt.setEnded();
+        attempt.connection().ifPresent(UpstreamConnection::close);
+    }
+
+    /**
+     * Returns the number of connections opened since the start.
+     *
+     * @return number of connections
+     */
+    public long openedCount() {
+        return openedCount;
+    }
+
+    AttemptListener listener() {
+        return listener;
+    }
+
+    void addIdle(UpstreamConnection connection) {
+        idleByKey.computeIfAbsent(connection.poolKey(), u -> new ArrayDeque<>()).addFirst(connection);
+    }
+
+    void remove(UpstreamConnection connection) {
+        Deque<UpstreamConnection> idleConnections = idleByKey.get(connection.poolKey());
+        if (idleConnections != null && idleConnections.remove(connection) && idleConnections.isEmpty()) {
+            idleByKey.remove(connection.poolKey());
+        }
+    }
+
+    private Optional<UpstreamConnection> pollIdle(UpstreamAttempt attempt) {
+        Deque<UpstreamConnection> idleConnections = idleByKey.get(poolKey(attempt.upstream()));
+        if (idleConnections == null) {
+            return Optional.empty();
+        }
+        long now = System.nanoTime();
+        for (Iterator<UpstreamConnection> iterator = idleConnections.iterator(); iterator.hasNext(); ) {
+            UpstreamConnection connection = iterator.next();
+            if (connection.isUsable(attempt.isAtMostOnce(), now)) {
+                iterator.remove();
+                return Optional.of(connection);
+            }
+        }
+        return Optional.empty();
+    }
+
+    private void connect(UpstreamAttempt attempt) {
+        openedCount++;
+        UpstreamResponseDecoder decoder = new UpstreamResponseDecoder();
+        UpstreamConnection connection = new UpstreamConnection(this, decoder, poolKey(attempt.upstream()));
+        Bootstrap bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline().addLast(new HttpRequestEncoder(), decoder, connection);
+                    }
+                });
+        ChannelFuture connecting =
+                bootstrap.connect(attempt.upstream().host(), attempt.upstream().port());
+        connection.setChannel(connecting.channel());
+        attempt.setConnection(connection);
+        connecting.addListener(future -> handleConnected(attempt, connection, future.isSuccess()));
+    }
+
+    private void handleConnected(UpstreamAttempt attempt, UpstreamConnection connection, boolean isConnected) {
+        if (attempt.isEnded()) {
+            connection.close();
+            return;
+        }
+        if (isConnected) {
+            connection.send(attempt);
+            return;
+        }
+        attempt.setEnded();
+        listener.attemptEnded(attempt, new AttemptOutcome.Unreached());
+    }
+
+    private static String poolKey(ListedUpstream upstream) {
+        return upstream.id() + '@' + upstream.host() + ':' + upstream.port() + '#' + upstream.startedMillis();
+    }
+}
--- a/gateway/src/test/java/org/citrontide/gateway/upstream/AnswerClassifierTest.java
+++ b/gateway/src/test/java/org/citrontide/gateway/upstream/ResponseClassifierTest.java
@@ -11,30 +11,30 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** Checks what is concluded from heads of answers. */
-final class AnswerClassifierTest {
+/** Tests the outcomes derived from the heads of responses. */
+final class ResponseClassifierTest {
 
     @Test
-    void anAddressThatBelongsToAnotherUpstreamSaysNothingOfAGroup() {
-        assertEquals(rejected(Cause.MISDIRECTED), AnswerClassifier.classify(head(421, true)));
-        assertEquals(rejected(Cause.MISDIRECTED), AnswerClassifier.classify(head(421, false)));
+    void aMisdirectedRequestDoesNotIndicateABrokenGroup() {
+        assertEquals(rejected(Cause.MISDIRECTED), ResponseClassifier.classify(head(421, true)));
+        assertEquals(rejected(Cause.MISDIRECTED), ResponseClassifier.classify(head(421, false)));
     }
 
     @Test
-    void anUpstreamThatNamesAMemberAtFaultIsInABrokenGroup() {
-        assertEquals(rejected(Cause.GROUP_BROKEN), AnswerClassifier.classify(head(503, true)));
-        assertEquals(rejected(Cause.FULL), AnswerClassifier.classify(head(503, false)));
+    void aRejectionThatNamesAFaultyMemberIndicatesABrokenGroup() {
+        assertEquals(rejected(Cause.GROUP_BROKEN), ResponseClassifier.classify(head(503, true)));
+        assertEquals(rejected(Cause.FULL), ResponseClassifier.classify(head(503, false)));
     }
 
     private static AttemptOutcome rejected(Cause cause) {
         return new AttemptOutcome.Rejected(cause, Optional.empty());
     }
 
-    private static AnswerHead head(int status, boolean namesMember) {
+    private static ResponseHead head(int status, boolean namesFaultyMember) {
         HttpHeaders headers = new DefaultHttpHeaders().set(PlatformHeaders.NOT_RUN, "1");
-        if (namesMember) {
+        if (namesFaultyMember) {
             headers.set(PlatformHeaders.MEMBER_AT_FAULT, "i-1");
         }
-        return new AnswerHead(status, headers);
+        return new ResponseHead(status, headers);
     }
 }
