--- a/gateway/src/main/java/org/citrontide/gateway/caller/CallerConnection.java
+++ b/gateway/src/main/java/org/citrontide/gateway/caller/CallerConnection.java
@@ -30,24 +30,24 @@
 import org.citrontide.core.routes.CallerLimits;
 
 /**
- * A caller's connection: reads whole requests, hands over one at a time, and writes their answers in order.
+ * A caller's connection, which reads complete requests, dispatches one at a time, and writes the responses in order.
  *
- * <p>Invariants: an answer goes only to the request that is due; an answer that broke off ends with a closed
- * connection, so that it can't be taken for whole. Not thread-safe: owned by the event loop.
+ * <p>Invariants: a response is sent only to the current request; an aborted response closes the connection, so that the
+ * caller can't mistake it for a complete one. Not thread-safe: owned by the event loop.
  */
 public final class CallerConnection extends ChannelInboundHandlerAdapter {
-    // Callers send one request at a time; more in advance than this is a flood.
+    // Callers send one request at a time; one that pipelines more than this is treated as abusive and disconnected.
     private static final int MAX_PIPELINED = 8;
 
     private final CallerServer server;
     private final StrictRequestDecoder decoder;
-    private final Deque<CallerRequest> waiting = new ArrayDeque<>();
+    private final Deque<CallerRequest> pipelined = new ArrayDeque<>();
     private Channel channel;
-    private Optional<CallerRequest> reading = Optional.empty();
-    private Optional<CallerRequest> due = Optional.empty();
+    private Optional<CallerRequest> incoming = Optional.empty();
+    private Optional<CallerRequest> current = Optional.empty();
     private boolean closing;
     private boolean streaming;
-    private long idleSinceNanos = System.nanoTime();
+    private long lastActivityNanos = System.nanoTime();
 
     CallerConnection(CallerServer server, StrictRequestDecoder decoder) {
         this.server = server;
@@ -55,88 +55,89 @@
     }
 
     /**
-     * Sends a whole answer to the request that is due.
+     * Sends a complete response to the current request.
      *
      * @param status HTTP status
      * @param headers header fields
-     * @param body the whole body
+     * @param body the complete body
      */
-    public void answer(int status, HttpHeaders headers, byte[] body) {
-        DefaultFullHttpResponse r = new DefaultFullHttpResponse(
+    public void sendResponse(int status, HttpHeaders headers, byte[] body) {
+        DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(body));
-        r.headers().set(headers);
-        HttpUtil.setContentLength(r, body.length);
-        boolean isLast = isLastAnswer();
-        HttpUtil.setKeepAlive(r, !isLast);
-        end(channel.writeAndFlush(r), isLast);
+        response.headers().set(headers);
+        HttpUtil.setContentLength(response, body.length);
+        boolean isLast = isLastResponse();
+        HttpUtil.setKeepAlive(response, !isLast);
+        handleResponseEnd(channel.writeAndFlush(response), isLast);
     }
 
     /**
-     * Begins an answer whose body follows in parts.
+     * Starts a response whose body follows in chunks.
      *
      * @param status HTTP status
      * @param headers header fields
      */
-    public void begin(int status, HttpHeaders headers) {
-        DefaultHttpResponse r = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
-        r.headers().set(headers);
-        HttpUtil.setTransferEncodingChunked(r, true);
-        if (isLastAnswer()) {
+    public void startResponse(int status, HttpHeaders headers) {
+        DefaultHttpResponse response =
+                new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
+        response.headers().set(headers);
+        HttpUtil.setTransferEncodingChunked(response, true);
+        if (isLastResponse()) {
             closing = true;
-            HttpUtil.setKeepAlive(r, false);
+            HttpUtil.setKeepAlive(response, false);
         }
         streaming = true;
-        channel.write(r);
+        channel.write(response);
     }
 
     /**
-     * Sends a part of the body.
+     * Sends a chunk of the body.
      *
-     * @param data the bytes
+     * @param data the bytes of the chunk
      */
-    public void part(byte[] data) {
+    public void writeChunk(byte[] data) {
         channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(data)));
     }
 
-    /** Ends the body as a whole one. */
-    public void endWhole() {
+    /** Ends the body of a streamed response that is complete. */
+    public void endResponse() {
         streaming = false;
-        end(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), closing);
+        handleResponseEnd(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), closing);
     }
 
-    /** Ends the connection in the middle of the body. */
-    public void breakOff() {
-        due = Optional.empty();
+    /** Closes the connection without ending the body, so that the response is incomplete. */
+    public void abort() {
+        current = Optional.empty();
         channel.close();
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        server.opened(this);
+        server.connectionOpened(this);
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object msg) {
+    public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            if (msg instanceof HttpRequest r) {
-                head(r);
+            if (message instanceof HttpRequest request) {
+                handleHead(request);
             }
-            if (msg instanceof HttpContent c) {
-                content(c);
+            if (message instanceof HttpContent content) {
+                handleContent(content);
             }
         } finally {
-            ReferenceCountUtil.release(msg);
+            ReferenceCountUtil.release(message);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        server.closed(this);
-        Optional<CallerRequest> lost = due;
-        due = Optional.empty();
-        waiting.clear();
-        lost.ifPresent(server.listener()::gone);
+        server.connectionClosed(this);
+        Optional<CallerRequest> interrupted = current;
+        current = Optional.empty();
+        pipelined.clear();
+        interrupted.ifPresent(server.listener()::callerDisconnected);
     }
 
     @Override
@@ -145,137 +146,140 @@
     }
 
     boolean isIdle() {
-        return due.isEmpty() && reading.isEmpty() && waiting.isEmpty();
+        return current.isEmpty() && incoming.isEmpty() && pipelined.isEmpty();
     }
 
-    /** Ends a connection whose caller takes too long. */
-    void checkTime(CallerLimits limits, long nowNanos) {
-        if (closing || due.isPresent()) {
+    /** Closes the connection if the caller exceeds the timeout for the head of a request or the idle timeout. */
+    void checkTimeouts(CallerLimits limits, long nowNanos) {
+        if (closing || current.isPresent()) {
             return;
         }
-        if (decoder.partialNanos(nowNanos) > limits.headerTimeout().toNanos()) {
-            refuse(HttpResponseStatus.REQUEST_TIMEOUT);
+        if (decoder.headIncompleteNanos(nowNanos) > limits.headerTimeout().toNanos()) {
+            reject(HttpResponseStatus.REQUEST_TIMEOUT);
             return;
         }
-        Duration idle = Duration.ofNanos(nowNanos - idleSinceNanos);
+        Duration idle = Duration.ofNanos(nowNanos - lastActivityNanos);
         if (idle.compareTo(limits.idleTimeout()) <= 0) {
             return;
         }
-        if (reading.isPresent()) {
-            refuse(HttpResponseStatus.REQUEST_TIMEOUT);
+        if (incoming.isPresent()) {
+            reject(HttpResponseStatus.REQUEST_TIMEOUT);
         } else {
             channel.close();
         }
     }
 
     void closeIfIdle() {
-        if (isIdle() && decoder.partialNanos(System.nanoTime()) == 0) {
+        if (isIdle() && decoder.headIncompleteNanos(System.nanoTime()) == 0) {
             closing = true;
             channel.close();
         }
     }
 
-    private void head(HttpRequest r) {
+    private void handleHead(HttpRequest request) {
         if (closing) {
             return;
         }
-        idleSinceNanos = System.nanoTime();
-        Optional<HttpResponseStatus> fault = fault(r);
-        if (fault.isPresent()) {
-            refuse(fault.get());
+        lastActivityNanos = System.nanoTime();
+        Optional<HttpResponseStatus> violation = findViolation(request);
+        if (violation.isPresent()) {
+            reject(violation.get());
             return;
         }
-        if (HttpUtil.is100ContinueExpected(r)) {
+        if (HttpUtil.is100ContinueExpected(request)) {
             channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
         }
-        reading = Optional.of(new CallerRequest(r, this));
+        incoming = Optional.of(new CallerRequest(request, this));
     }
 
-    private Optional<HttpResponseStatus> fault(HttpRequest r) {
-        if (r.decoderResult().isFailure()) {
-            Throwable cause = r.decoderResult().cause();
+    private Optional<HttpResponseStatus> findViolation(HttpRequest request) {
+        if (request.decoderResult().isFailure()) {
+            Throwable cause = request.decoderResult().cause();
             return Optional.of(
                     cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException
                             ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
                             : HttpResponseStatus.BAD_REQUEST);
         }
-        if (r.headers().contains(StrictRequestDecoder.AMBIGUOUS)) {
+        if (request.headers().contains(StrictRequestDecoder.AMBIGUOUS_LENGTH)) {
             return Optional.of(HttpResponseStatus.BAD_REQUEST);
         }
-        if (HttpUtil.getContentLength(r, 0L) > server.limits().bodyBytes()) {
+        if (HttpUtil.getContentLength(request, 0L) > server.limits().bodyBytes()) {
             return Optional.of(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         }
         return Optional.empty();
     }
 
-    private void content(HttpContent c) {
-        if (closing || reading.isEmpty()) {
+    private void handleContent(HttpContent content) {
+        if (closing || incoming.isEmpty()) {
             return;
         }
-        if (c.decoderResult().isFailure()) {
-            refuse(HttpResponseStatus.BAD_REQUEST);
+        if (content.decoderResult().isFailure()) {
+            reject(HttpResponseStatus.BAD_REQUEST);
             return;
         }
-        CallerRequest r = reading.get();
-        idleSinceNanos = System.nanoTime();
-        if (c.content().isReadable()) {
-            r.append(ByteBufUtil.getBytes(c.content()));
+        CallerRequest request = incoming.get();
+        lastActivityNanos = System.nanoTime();
+        if (content.content().isReadable()) {
+            request.appendBody(ByteBufUtil.getBytes(content.content()));
         }
-        if (r.bodyLength() > server.limits().bodyBytes()) {
-            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+        if (request.bodyLength() > server.limits().bodyBytes()) {
+            reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
-        if (c instanceof LastHttpContent) {
-            reading = Optional.empty();
-            enqueue(r);
+        if (content instanceof LastHttpContent) {
+            incoming = Optional.empty();
+            enqueue(request);
         }
     }
 
-    private void enqueue(CallerRequest r) {
-        if (waiting.size() >= MAX_PIPELINED) {
+    private void enqueue(CallerRequest request) {
+        if (pipelined.size() >= MAX_PIPELINED) {
             channel.close();
             return;
         }
-        waiting.add(r);
-        handOver();
+        pipelined.add(request);
+        dispatchNext();
     }
 
-    private void handOver() {
-        if (due.isPresent() || waiting.isEmpty()) {
+    private void dispatchNext() {
+        if (current.isPresent() || pipelined.isEmpty()) {
             return;
         }
-        due = Optional.of(waiting.removeFirst());
-        server.listener().arrived(due.get());
+        current = Optional.of(pipelined.removeFirst());
+        server.listener().requestArrived(current.get());
     }
 
-    private boolean isLastAnswer() {
-        boolean stays = due.map(CallerRequest::isKeepAlive).orElse(false);
-        return !stays || server.listener().isStopping();
+    private boolean isLastResponse() {
+        boolean isKeepAlive = current.map(CallerRequest::isKeepAlive).orElse(false);
+        return !isKeepAlive || server.listener().isStopping();
     }
 
-    private void end(ChannelFuture written, boolean isLast) {
-        due = Optional.empty();
-        idleSinceNanos = System.nanoTime();
+    private void handleResponseEnd(ChannelFuture writeFuture, boolean isLast) {
+        current = Optional.empty();
+        lastActivityNanos = System.nanoTime();
         if (isLast) {
             closing = true;
-            written.addListener(ChannelFutureListener.CLOSE);
+            writeFuture.addListener(ChannelFutureListener.CLOSE);
             return;
         }
-        handOver();
+        dispatchNext();
     }
 
-    /** Answers a request that can't be read, after which the connection can't be used. */
-    private void refuse(HttpResponseStatus status) {
-        if (due.isPresent() || streaming) {
+    /**
+     * Responds with an error to a request that can't be read completely and closes the connection, since the rest of
+     * that request is not read. Closes it without a response if the response to an earlier request is pending.
+     */
+    private void reject(HttpResponseStatus status) {
+        if (current.isPresent() || streaming) {
             closing = true;
             channel.close();
             return;
         }
         closing = true;
-        reading = Optional.empty();
-        DefaultFullHttpResponse r = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status);
-        HttpUtil.setContentLength(r, 0);
-        r.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        channel.writeAndFlush(r).addListener(ChannelFutureListener.CLOSE);
+        incoming = Optional.empty();
+        DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status);
+        HttpUtil.setContentLength(response, 0);
+        response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        channel.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 }
--- a/gateway/src/main/java/org/citrontide/gateway/caller/CallerListener.java
+++ b/gateway/src/main/java/org/citrontide/gateway/caller/CallerListener.java
@@ -1,24 +1,24 @@
 package org.citrontide.gateway.caller;
 
-/** Hears of the requests of callers. Called on the event loop. */
+/** Receives the requests of callers. Called on the event loop. */
 public interface CallerListener {
 
     /**
-     * A request arrived whole, and is the next one due on its connection.
+     * Handles a complete request, which is now the current one of its connection.
      *
      * @param request the request
      */
-    void arrived(CallerRequest request);
+    void requestArrived(CallerRequest request);
 
     /**
-     * The caller of a request that has no final answer went away.
+     * Handles the disconnection of a caller whose request has no final response yet.
      *
      * @param request the request
      */
-    void gone(CallerRequest request);
+    void callerDisconnected(CallerRequest request);
 
     /**
-     * Says whether connections should end with their next answer.
+     * Returns whether each connection is to be closed after its next response.
      *
      * @return true while the process is stopping
      */
--- a/gateway/src/main/java/org/citrontide/gateway/caller/CallerRequest.java
+++ b/gateway/src/main/java/org/citrontide/gateway/caller/CallerRequest.java
@@ -8,7 +8,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 
 /**
- * One request of a caller, read in full before it is dispatched.
+ * One request of a caller, which is received completely before it is dispatched.
  *
  * <p>Not thread-safe: owned by the event loop.
  */
@@ -20,16 +20,16 @@
     private final CallerConnection connection;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
 
-    CallerRequest(HttpRequest r, CallerConnection connection) {
-        this.method = r.method();
-        this.target = r.uri();
-        this.headers = r.headers();
-        this.keepAlive = HttpUtil.isKeepAlive(r);
+    CallerRequest(HttpRequest request, CallerConnection connection) {
+        this.method = request.method();
+        this.target = request.uri();
+        this.headers = request.headers();
+        this.keepAlive = HttpUtil.isKeepAlive(request);
         this.connection = connection;
     }
 
     /**
-     * Returns the method.
+     * Returns the HTTP method.
      *
      * @return HTTP method
      */
@@ -38,9 +38,9 @@
     }
 
     /**
-     * Returns path and query as the caller sent them.
+     * Returns the request target, which is the path and query as the caller sent them.
      *
-     * @return target of the request
+     * @return request target
      */
     public String target() {
         return target;
@@ -49,7 +49,7 @@
     /**
      * Returns the header fields.
      *
-     * @return fields, not to be changed
+     * @return header fields, which must not be modified
      */
     public HttpHeaders headers() {
         return headers;
@@ -58,16 +58,16 @@
     /**
      * Returns the body.
      *
-     * @return all its bytes
+     * @return the body bytes received so far, complete once the request is dispatched
      */
     public byte[] body() {
         return body.toByteArray();
     }
 
     /**
-     * Returns the connection that the answer goes to.
+     * Returns the connection that the request arrived on.
      *
-     * @return the connection
+     * @return the connection to send the response to
      */
     public CallerConnection connection() {
         return connection;
@@ -81,7 +81,7 @@
         return body.size();
     }
 
-    void append(byte[] data) {
+    void appendBody(byte[] data) {
         body.writeBytes(data);
     }
 }
--- a/gateway/src/main/java/org/citrontide/gateway/caller/CallerServer.java
+++ b/gateway/src/main/java/org/citrontide/gateway/caller/CallerServer.java
@@ -20,12 +20,12 @@
 import org.citrontide.core.routes.CallerLimits;
 
 /**
- * Accepts callers' connections and ends those that take too long.
+ * Accepts the connections of callers and closes those that exceed a timeout.
  *
- * <p>Not thread-safe: owned by the event loop once it listens.
+ * <p>Not thread-safe: owned by the event loop once the server listens.
  */
 public final class CallerServer {
-    // Fine enough for limits of seconds.
+    // Precise enough for timeouts of seconds.
     private static final Duration CHECK_INTERVAL = Duration.ofMillis(500);
     private static final int BACKLOG = 1024;
 
@@ -33,15 +33,15 @@
     private final CallerListener listener;
     private final Supplier<CallerLimits> limits;
     private final int maxConnections;
-    private final Set<CallerConnection> open = new HashSet<>();
+    private final Set<CallerConnection> openConnections = new HashSet<>();
 
     /**
-     * Makes a server.
+     * Creates a server.
      *
      * @param loop event loop of all connections
-     * @param listener hears of the requests
-     * @param limits limits in force
-     * @param maxConnections most connections; more are closed at once
+     * @param listener receives the requests
+     * @param limits supplies the limits in force
+     * @param maxConnections maximum number of connections; further ones are closed immediately
      */
     public CallerServer(
             EventLoopGroup loop, CallerListener listener, Supplier<CallerLimits> limits, int maxConnections) {
@@ -52,10 +52,10 @@
     }
 
     /**
-     * Begins to accept connections.
+     * Starts to accept connections.
      *
-     * @param address IP number and port
-     * @throws IOException if the address can't be used
+     * @param address IP address and port to listen on
+     * @throws IOException if the address can't be bound
      */
     public void listen(InetSocketAddress address) throws IOException {
         ServerBootstrap bootstrap = new ServerBootstrap()
@@ -66,37 +66,40 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel c) {
+                    protected void initChannel(Channel channel) {
                         StrictRequestDecoder decoder =
                                 new StrictRequestDecoder(limits.get().headerBytes());
-                        c.pipeline()
+                        channel.pipeline()
                                 .addLast(
                                         decoder,
                                         new HttpResponseEncoder(),
                                         new CallerConnection(CallerServer.this, decoder));
                     }
                 });
-        ChannelFuture bound = bootstrap.bind(address).awaitUninterruptibly();
-        if (!bound.isSuccess()) {
-            throw new IOException("can't serve callers on " + address, bound.cause());
+        ChannelFuture bindFuture = bootstrap.bind(address).awaitUninterruptibly();
+        if (!bindFuture.isSuccess()) {
+            throw new IOException("can't listen for callers on " + address, bindFuture.cause());
         }
         loop.next()
                 .scheduleAtFixedRate(
-                        this::checkTimes, CHECK_INTERVAL.toMillis(), CHECK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
+                        this::checkTimeouts,
+                        CHECK_INTERVAL.toMillis(),
+                        CHECK_INTERVAL.toMillis(),
+                        TimeUnit.MILLISECONDS);
     }
 
-    /** Closes the connections on which no request is under way. */
-    public void closeIdle() {
-        List.copyOf(open).forEach(CallerConnection::closeIfIdle);
+    /** Closes the connections without a request in progress. */
+    public void closeIdleConnections() {
+        List.copyOf(openConnections).forEach(CallerConnection::closeIfIdle);
     }
 
     /**
-     * Returns the open connections.
+     * Returns the number of open connections.
      *
-     * @return count
+     * @return number of connections
      */
-    public int connections() {
-        return open.size();
+    public int connectionCount() {
+        return openConnections.size();
     }
 
     CallerListener listener() {
@@ -107,19 +110,19 @@
         return limits.get();
     }
 
-    void opened(CallerConnection c) {
-        open.add(c);
-        if (open.size() > maxConnections) {
-            c.breakOff();
+    void connectionOpened(CallerConnection connection) {
+        openConnections.add(connection);
+        if (openConnections.size() > maxConnections) {
+            connection.abort();
         }
     }
 
-    void closed(CallerConnection c) {
-        open.remove(c);
+    void connectionClosed(CallerConnection connection) {
+        openConnections.remove(connection);
     }
 
-    private void checkTimes() {
-        long now = System.nanoTime();
-        List.copyOf(open).forEach(c -> c.checkTime(limits.get(), now));
+    private void checkTimeouts() {
+        long nowNanos = System.nanoTime();
+        List.copyOf(openConnections).forEach(connection -> connection.checkTimeouts(limits.get(), nowNanos));
     }
 }
--- a/gateway/src/main/java/org/citrontide/gateway/caller/StrictRequestDecoder.java
+++ b/gateway/src/main/java/org/citrontide/gateway/caller/StrictRequestDecoder.java
@@ -9,41 +9,43 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Decodes requests and keeps those that two readers could frame differently from being taken for proper ones.
+ * Decodes requests and marks those with ambiguous framing, which other HTTP parsers may delimit differently (request
+ * smuggling).
  *
- * <p>Invariant: a message with a length and a transfer encoding is marked by {@link #AMBIGUOUS}. Not thread-safe.
+ * <p>Invariant: a message with both a Content-Length and a Transfer-Encoding is marked by {@link #AMBIGUOUS_LENGTH}.
+ * Not thread-safe.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
-    static final String AMBIGUOUS = "x-citrontide-ambiguous-length";
+    static final String AMBIGUOUS_LENGTH = "x-citrontide-ambiguous-length";
 
-    private long partialSinceNanos;
-    private boolean partial;
+    private long headIncompleteSinceNanos;
+    private boolean headIncomplete;
 
     StrictRequestDecoder(int maxHeaderBytes) {
         super(new HttpDecoderConfig().setMaxInitialLineLength(maxHeaderBytes).setMaxHeaderSize(maxHeaderBytes));
     }
 
-    /** Returns for how long the head of a request has been incomplete, 0 if none is. */
-    long partialNanos(long nowNanos) {
-        return partial ? nowNanos - partialSinceNanos : 0;
+    /** Returns for how many ns the head of a request has been incomplete, 0 if none is. */
+    long headIncompleteNanos(long nowNanos) {
+        return headIncomplete ? nowNanos - headIncompleteSinceNanos : 0;
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf buffer, List<Object> out) throws Exception {
-        if (!partial && buffer.isReadable()) {
-            partial = true;
-            partialSinceNanos = System.nanoTime();
+        if (!headIncomplete && buffer.isReadable()) {
+            headIncomplete = true;
+            headIncompleteSinceNanos = System.nanoTime();
         }
-        int before = out.size();
+        int sizeBefore = out.size();
         super.decode(ctx, buffer, out);
-        if (out.size() > before) {
-            partial = false;
+        if (out.size() > sizeBefore) {
+            headIncomplete = false;
         }
     }
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
         super.handleTransferEncodingChunkedWithContentLength(message);
-        message.headers().set(AMBIGUOUS, "1");
+        message.headers().set(AMBIGUOUS_LENGTH, "1");
     }
 }
--- a/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayDaemon.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayDaemon.java
@@ -78,7 +78,7 @@
                 && (parts.shell().openRequests() > 0 || parts.controlPlane().isHolding())) {
             pause();
         }
-        parts.loop().next().execute(() -> parts.callerServer().closeIdle());
+        parts.loop().next().execute(() -> parts.callerServer().closeIdleConnections());
         pause();
         LOG.info("stopped").with("cut-off", parts.shell().openRequests()).write();
         stopped.countDown();
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
@@ -137,7 +137,7 @@
     }
 
     @Override
-    public void arrived(CallerRequest request) {
+    public void requestArrived(CallerRequest request) {
         long now = System.nanoTime();
         RequestHead head = new RequestHead(request.target(), request.headers(), table);
         Optional<Reason> refusal = refusingNewRequests ? Optional.of(Reason.DRAINING) : GatewayFilter.checkAll(head);
@@ -154,7 +154,7 @@
     }
 
     @Override
-    public void gone(CallerRequest request) {
+    public void callerDisconnected(CallerRequest request) {
         Long id = idByRequest.remove(request);
         if (id == null) {
             return;
@@ -188,7 +188,7 @@
             return;
         }
         startResponse(exchange, attempt.head().orElseThrow());
-        exchange.caller.connection().part(events);
+        exchange.caller.connection().writeChunk(events);
     }
 
     @Override
@@ -304,7 +304,7 @@
         }
         exchange.responseStarted = true;
         metrics.recordFirstByte(exchange.request.team(), exchange.request.rank(), ageNanos(exchange));
-        exchange.caller.connection().begin(head.status(), responseHeaders(head));
+        exchange.caller.connection().startResponse(head.status(), responseHeaders(head));
     }
 
     private void deliverResponse(GatewayAction.Deliver deliver) {
@@ -313,9 +313,9 @@
         ResponseHead head = attempt.head().orElseThrow();
         recordRequestEnd(exchange, "delivered", Integer.toString(head.status()));
         if (exchange.responseStarted) {
-            exchange.caller.connection().endWhole();
+            exchange.caller.connection().endResponse();
         } else {
-            exchange.caller.connection().answer(head.status(), responseHeaders(head), attempt.body());
+            exchange.caller.connection().sendResponse(head.status(), responseHeaders(head), attempt.body());
         }
     }
 
@@ -328,7 +328,7 @@
     private void abortResponse(GatewayAction.AbortResponse abort) {
         OpenExchange exchange = removeExchange(abort.request());
         recordRequestEnd(exchange, "broken-off", Refusals.reasonKey(abort.verdict()));
-        exchange.caller.connection().breakOff();
+        exchange.caller.connection().abort();
     }
 
     private OpenExchange removeExchange(long id) {
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/Refusals.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/Refusals.java
@@ -40,7 +40,7 @@
         }
         String body = "{\"status\":" + status(verdict) + ",\"title\":\"" + reasonKey(verdict) + "\",\"verdict\":\""
                 + verdict.headerValue() + "\"}\n";
-        request.connection().answer(status(verdict), headers, body.getBytes(StandardCharsets.UTF_8));
+        request.connection().sendResponse(status(verdict), headers, body.getBytes(StandardCharsets.UTF_8));
     }
 
     static int status(Verdict verdict) {
