--- a/gateway/src/test/java/org/citrontide/gateway/GatewayHarness.java
+++ b/gateway/src/test/java/org/citrontide/gateway/GatewayHarness.java
@@ -20,9 +20,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** A gateway in this process, with a stand-in of the platform's store and upstreams. */
+/** Base class of tests that run a gateway in the process of the test, with a fake platform store and fake upstreams. */
 abstract class GatewayHarness {
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
+    private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(20);
 
     final int callerPort = TestPorts.next();
     final int adminPort = TestPorts.next();
@@ -34,16 +34,16 @@
     @BeforeEach
     void start() throws IOException {
         store = new FakePlatformStore();
-        daemon = gateway(
+        daemon = createGateway(
                 callerPort,
                 adminPort,
                 store,
                 Optional.empty(),
-                List.of(local(TestPorts.next()), local(TestPorts.next()), local(peerPort)));
+                List.of(localAddress(TestPorts.next()), localAddress(TestPorts.next()), localAddress(peerPort)));
         daemon.start();
     }
 
-    static GatewayDaemon gateway(
+    static GatewayDaemon createGateway(
             int callerPort,
             int adminPort,
             FakePlatformStore store,
@@ -53,9 +53,9 @@
                 new GatewaySettings(
                         "vm1",
                         "z1",
-                        local(callerPort),
-                        local(adminPort),
-                        local(store.port()),
+                        localAddress(callerPort),
+                        localAddress(adminPort),
+                        localAddress(store.port()),
                         peerAddress,
                         peers,
                         100,
@@ -67,27 +67,27 @@
                 1);
     }
 
-    static InetSocketAddress local(int port) {
+    static InetSocketAddress localAddress(int port) {
         return new InetSocketAddress("127.0.0.1", port);
     }
 
     @AfterEach
     void stop() throws IOException {
         store.close();
-        for (FakeHttpUpstream u : upstreams) {
-            u.close();
+        for (FakeHttpUpstream upstream : upstreams) {
+            upstream.close();
         }
     }
 
-    /** Adds an upstream and waits until the gateway is ready and knows it. */
-    FakeHttpUpstream serve(String id, Script script) throws IOException {
-        FakeHttpUpstream u = new FakeHttpUpstream(id, script);
-        upstreams.add(u);
-        store.put("servers/" + id, u.entry("svc", "ready"));
+    /** Adds an upstream and waits until the gateway is ready and has read the upstream's entry. */
+    FakeHttpUpstream addUpstream(String id, Script script) throws IOException {
+        FakeHttpUpstream upstream = new FakeHttpUpstream(id, script);
+        upstreams.add(upstream);
+        store.put("servers/" + id, upstream.entry("svc", "ready"));
         store.put("op/config", configuration(7));
-        long before = store.reads();
-        await("the gateway knows " + id, () -> store.reads() >= before + 3 && readiness() == 200);
-        return u;
+        long readsBefore = store.reads();
+        await("the gateway knows " + id, () -> store.reads() >= readsBefore + 3 && readinessStatus() == 200);
+        return upstream;
     }
 
     static String configuration(int version) {
@@ -99,34 +99,34 @@
                 + "\"tenants\":[{\"name\":\"rangers\",\"api_keys\":[\"key-1\"]}]}";
     }
 
-    private static String route(String name, String kind, String more) {
+    private static String route(String name, String kind, String extraFields) {
         return "{\"name\":\"" + name + "\",\"hostname\":\"h.example\",\"prefix\":\"/" + name + "/\",\"kind\":\"" + kind
                 + "\",\"timeout_ms\":4000,\"target_latency_ms\":400,\"priority\":1,\"service\":\"svc\","
-                + "\"max_attempts\":2" + more + "}";
+                + "\"max_attempts\":2" + extraFields + "}";
     }
 
-    int readiness() {
-        try (RawCaller c = new RawCaller(adminPort)) {
-            c.write("GET /-/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
-            return c.read().status();
+    int readinessStatus() {
+        try (RawCaller caller = new RawCaller(adminPort)) {
+            caller.write("GET /-/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
+            return caller.readResponse().status();
         } catch (IOException e) {
             return -1;
         }
     }
 
-    static int status(RawCaller c, String target) {
+    static int requestStatus(RawCaller caller, String target) {
         try {
-            c.request("GET", target, "id-" + System.nanoTime(), "");
-            return c.read().status();
+            caller.sendRequest("GET", target, "id-" + System.nanoTime(), "");
+            return caller.readResponse().status();
         } catch (IOException e) {
             return -1;
         }
     }
 
-    static void await(String what, BooleanSupplier condition) {
-        long end = System.nanoTime() + PATIENCE.toNanos();
+    static void await(String description, BooleanSupplier condition) {
+        long deadline = System.nanoTime() + AWAIT_TIMEOUT.toNanos();
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, "waited in vain until " + what);
+            assertTrue(System.nanoTime() < deadline, "timed out waiting until " + description);
             pause(10);
         }
     }
--- a/gateway/src/test/java/org/citrontide/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/citrontide/gateway/GatewayTest.java
@@ -16,41 +16,41 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Plays a whole gateway over sockets against a stand-in of the platform's store and upstreams of odd manners. */
+/** Tests a complete gateway over sockets, with a fake platform store and fake upstreams that misbehave. */
 final class GatewayTest extends GatewayHarness {
     private static final String EVENT = "id: %d\ndata: word-%d\n\n";
 
     @Test
-    void anAnswerComesBackWholeAndTheRequestGoesOutAsItShould() throws IOException {
-        FakeHttpUpstream u = serve("a", (r, reply) -> reply.whole("200 OK", "hello"));
+    void theRequestIsForwardedAndItsResponseReturned() throws IOException {
+        FakeHttpUpstream u = addUpstream("a", (r, reply) -> reply.whole("200 OK", "hello"));
         try (RawCaller c = new RawCaller(callerPort)) {
-            c.request("POST", "/book/x?y=1", "id-1", "turn");
-            RawCaller.Answer answer = c.read();
-            assertEquals(200, answer.status());
-            assertEquals("hello", answer.body());
-            assertEquals("stamp-of-a", answer.header("Citrontide-Response-Stamp"));
+            c.sendRequest("POST", "/book/x?y=1", "id-1", "turn");
+            RawCaller.Response response = c.readResponse();
+            assertEquals(200, response.status());
+            assertEquals("hello", response.body());
+            assertEquals("stamp-of-a", response.header("Citrontide-Response-Stamp"));
         }
         FakeHttpUpstream.Received r = u.received().getFirst();
         assertEquals("POST /book/x?y=1 HTTP/1.1", r.line());
         assertEquals("turn", r.body());
         assertEquals("rangers", r.header("Citrontide-Tenant"));
-        assertEquals("", r.header("Authorization"), "the key must not be passed on");
+        assertEquals("", r.header("Authorization"), "the API key must not be forwarded");
         assertEquals("a", r.header("Citrontide-Expect-Instance"));
         assertEquals("id-1", r.header("Citrontide-Attempt-Id"));
-        int left = Integer.parseInt(r.header("Citrontide-Deadline-Ms"));
-        assertTrue(left > 1000 && left <= 3000, left + " ms left");
+        int remainingMs = Integer.parseInt(r.header("Citrontide-Deadline-Ms"));
+        assertTrue(remainingMs > 1000 && remainingMs <= 3000, remainingMs + " ms left");
     }
 
     @Test
-    void aRequestThatMayNotPassIsRefusedAndReachesNoUpstream() throws IOException {
-        FakeHttpUpstream u = serve("a", (r, reply) -> reply.whole("200 OK", "hello"));
+    void aRequestThatAFilterRefusesReachesNoUpstream() throws IOException {
+        FakeHttpUpstream u = addUpstream("a", (r, reply) -> reply.whole("200 OK", "hello"));
         try (RawCaller c = new RawCaller(callerPort)) {
-            c.request("GET", "/nowhere/", "id-1", "");
-            assertEquals(404, c.read().status());
+            c.sendRequest("GET", "/nowhere/", "id-1", "");
+            assertEquals(404, c.readResponse().status());
             c.write("GET /look/ HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer wrong\r\n\r\n");
-            assertEquals(401, c.read().status());
+            assertEquals(401, c.readResponse().status());
             c.write("GET /look/ HTTP/1.1\r\n\r\n");
-            assertEquals(400, c.read().status());
+            assertEquals(400, c.readResponse().status());
         }
         assertEquals(List.of(), u.received());
     }
@@ -58,58 +58,58 @@
     @Test
     void aGatewayWithoutConfigurationIsNotReadyAndRefusesWith503() throws IOException {
         try (RawCaller c = new RawCaller(callerPort)) {
-            c.request("GET", "/look/", "id-1", "");
-            assertEquals(503, c.read().status());
+            c.sendRequest("GET", "/look/", "id-1", "");
+            assertEquals(503, c.readResponse().status());
         }
-        assertEquals(503, readiness());
+        assertEquals(503, readinessStatus());
     }
 
     @Test
-    void aSecondAnswerOnAConnectionBelongsToNobody() throws IOException {
-        serve("a", (r, reply) -> {
+    void anUnsolicitedResponseIsNotReturnedToAnotherRequest() throws IOException {
+        addUpstream("a", (r, reply) -> {
             reply.whole("200 OK", "answer-to-" + r.header("Citrontide-Attempt-Id"));
             reply.whole("200 OK", "stray-after-" + r.header("Citrontide-Attempt-Id"));
         });
         try (RawCaller c = new RawCaller(callerPort)) {
             for (int i = 1; i <= 20; i++) {
-                c.request("GET", "/look/", "id-" + i, "");
-                assertEquals("answer-to-id-" + i, c.read().body());
+                c.sendRequest("GET", "/look/", "id-" + i, "");
+                assertEquals("answer-to-id-" + i, c.readResponse().body());
             }
         }
     }
 
     @Test
-    void anAnswerOfAnotherRequestIsSkipped() throws IOException {
-        serve("a", (r, reply) -> {
+    void aResponseToAnotherRequestIsSkipped() throws IOException {
+        addUpstream("a", (r, reply) -> {
             reply.raw("HTTP/1.1 200 OK\r\nCitrontide-Attempt-Id: other\r\nCitrontide-Response-Stamp: s\r\n"
                     + "Content-Length: 5\r\n\r\nwrong");
             reply.whole("200 OK", "right");
         });
         try (RawCaller c = new RawCaller(callerPort)) {
-            c.request("POST", "/book/", "id-1", "");
-            assertEquals("right", c.read().body());
+            c.sendRequest("POST", "/book/", "id-1", "");
+            assertEquals("right", c.readResponse().body());
         }
     }
 
     @Test
-    void aTruncatedAnswerToWhatRunsOnceIs502AndNeverRunsAgain() throws IOException {
-        Script cut = (r, reply) -> {
+    void aTruncatedResponseToAnAtMostOnceRequestIs502AndNotRetried() throws IOException {
+        Script truncated = (r, reply) -> {
             reply.head("200 OK", "Content-Length: 100\r\n");
             reply.raw("half");
             reply.reset();
         };
-        FakeHttpUpstream a = serve("a", cut);
-        FakeHttpUpstream b = serve("b", cut);
+        FakeHttpUpstream a = addUpstream("a", truncated);
+        FakeHttpUpstream b = addUpstream("b", truncated);
         try (RawCaller c = new RawCaller(callerPort)) {
-            c.request("POST", "/book/", "id-1", "");
-            assertEquals(502, c.read().status());
+            c.sendRequest("POST", "/book/", "id-1", "");
+            assertEquals(502, c.readResponse().status());
         }
         assertEquals(1, a.received().size() + b.received().size());
     }
 
     @Test
-    void anAnswerWithoutLengthIsWholeOnlyIfItsConnectionEndsInOrder() throws IOException {
-        serve("a", (r, reply) -> {
+    void aResponseWithoutLengthIsCompleteOnlyIfTheConnectionIsClosedCleanly() throws IOException {
+        addUpstream("a", (r, reply) -> {
             reply.head("200 OK", "Connection: close\r\n");
             reply.raw("first half,");
             if (r.line().contains("reset")) {
@@ -119,39 +119,39 @@
             throw new IOException("the end of the answer");
         });
         try (RawCaller c = new RawCaller(callerPort)) {
-            c.request("POST", "/book/in-order", "id-1", "");
-            assertEquals("first half,", c.read().body());
-            c.request("POST", "/book/reset", "id-2", "");
-            assertEquals(502, c.read().status());
+            c.sendRequest("POST", "/book/in-order", "id-1", "");
+            assertEquals("first half,", c.readResponse().body());
+            c.sendRequest("POST", "/book/reset", "id-2", "");
+            assertEquals(502, c.readResponse().status());
         }
     }
 
     @Test
-    void aRefusalOfAnUpstreamIsTriedElsewhere() throws IOException {
-        serve("a", (r, reply) -> {
+    void aRequestRejectedByAnUpstreamIsRetriedElsewhere() throws IOException {
+        addUpstream("a", (r, reply) -> {
             boolean isFirst =
                     upstreams.stream().mapToInt(u -> u.received().size()).sum() == 1;
-            answerOrReject(isFirst, reply);
+            rejectFirst(isFirst, reply);
         });
-        serve("b", (r, reply) -> {
+        addUpstream("b", (r, reply) -> {
             boolean isFirst =
                     upstreams.stream().mapToInt(u -> u.received().size()).sum() == 1;
-            answerOrReject(isFirst, reply);
+            rejectFirst(isFirst, reply);
         });
         try (RawCaller c = new RawCaller(callerPort)) {
-            c.request("POST", "/book/", "id-1", "");
-            assertEquals("ran", c.read().body());
+            c.sendRequest("POST", "/book/", "id-1", "");
+            assertEquals("ran", c.readResponse().body());
         }
     }
 
     @Test
-    void aStreamThatBreaksInAnEventGoesOnAtAnotherUpstream() throws IOException {
+    void aStreamThatBreaksWithinAnEventIsResumedAtAnotherUpstream() throws IOException {
         Script broken = (r, reply) -> {
-            String last = r.header("Last-Event-Id");
-            int from = last.isEmpty() ? 1 : Integer.parseInt(last) + 1;
+            String lastEventId = r.header("Last-Event-Id");
+            int firstNumber = lastEventId.isEmpty() ? 1 : Integer.parseInt(lastEventId) + 1;
             reply.head("200 OK", "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n");
-            for (int i = from; i <= 6; i++) {
-                if (i == 4 && from == 1) {
+            for (int i = firstNumber; i <= 6; i++) {
+                if (i == 4 && firstNumber == 1) {
                     reply.raw("14\r\nid: 4\nda");
                     reply.reset();
                 }
@@ -160,57 +160,59 @@
             }
             reply.raw("0\r\n\r\n");
         };
-        FakeHttpUpstream a = serve("a", broken);
-        FakeHttpUpstream b = serve("b", broken);
+        FakeHttpUpstream a = addUpstream("a", broken);
+        FakeHttpUpstream b = addUpstream("b", broken);
         try (RawCaller c = new RawCaller(callerPort)) {
-            c.request("POST", "/stream/", "id-1", "");
-            RawCaller.Answer answer = c.read();
-            assertTrue(answer.isWhole());
+            c.sendRequest("POST", "/stream/", "id-1", "");
+            RawCaller.Response response = c.readResponse();
+            assertTrue(response.isComplete());
             StringBuilder expected = new StringBuilder();
             for (int i = 1; i <= 6; i++) {
                 expected.append(EVENT.formatted(i, i));
             }
-            assertEquals(expected.toString(), answer.body());
+            assertEquals(expected.toString(), response.body());
         }
-        List<FakeHttpUpstream.Received> all = new ArrayList<>(a.received());
-        all.addAll(b.received());
+        List<FakeHttpUpstream.Received> received = new ArrayList<>(a.received());
+        received.addAll(b.received());
         assertEquals(
                 1,
-                all.stream().filter(r -> r.header("Last-Event-Id").equals("3")).count());
+                received.stream()
+                        .filter(r -> r.header("Last-Event-Id").equals("3"))
+                        .count());
     }
 
     @Test
-    void aStreamThatCannotBeFinishedLooksBroken() throws IOException {
-        serve("a", (r, reply) -> {
+    void aStreamThatCannotBeResumedEndsIncomplete() throws IOException {
+        addUpstream("a", (r, reply) -> {
             reply.head("200 OK", "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n");
             reply.chunk(EVENT.formatted(1, 1));
             pause(50);
             reply.reset();
         });
         try (RawCaller c = new RawCaller(callerPort)) {
-            c.request("POST", "/stream/", "id-1", "");
-            RawCaller.Answer answer = c.read();
-            assertEquals(EVENT.formatted(1, 1), answer.body());
-            assertFalse(answer.isWhole());
+            c.sendRequest("POST", "/stream/", "id-1", "");
+            RawCaller.Response response = c.readResponse();
+            assertEquals(EVENT.formatted(1, 1), response.body());
+            assertFalse(response.isComplete());
         }
     }
 
     @Test
-    void aCallerThatLeavesEndsTheWorkWithinHalfASecond() throws IOException {
-        FakeHttpUpstream u = serve("a", (r, reply) -> reply.awaitClose());
+    void theAttemptOfADisconnectedCallerIsCancelledWithinHalfASecond() throws IOException {
+        FakeHttpUpstream u = addUpstream("a", (r, reply) -> reply.awaitClose());
         try (RawCaller c = new RawCaller(callerPort)) {
-            c.request("GET", "/look/", "id-1", "");
+            c.sendRequest("GET", "/look/", "id-1", "");
             await("the request arrives", () -> u.openConnections() == 1);
         }
-        long left = System.nanoTime();
-        await("the upstream sees the close", () -> u.openConnections() == 0);
-        long ms = Duration.ofNanos(System.nanoTime() - left).toMillis();
+        long disconnectNanos = System.nanoTime();
+        await("the connection to the upstream is closed", () -> u.openConnections() == 0);
+        long ms = Duration.ofNanos(System.nanoTime() - disconnectNanos).toMillis();
         assertTrue(ms < 500, ms + " ms");
     }
 
     @Test
-    void whatTwoReadersCouldFrameDifferentlyIsRefused() throws IOException {
-        FakeHttpUpstream u = serve("a", (r, reply) -> reply.whole("200 OK", "hello"));
+    void requestsWithAmbiguousFramingAreRefused() throws IOException {
+        FakeHttpUpstream u = addUpstream("a", (r, reply) -> reply.whole("200 OK", "hello"));
         String head = "POST /book/ HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer key-1\r\n";
         for (String framing : List.of(
                 "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
@@ -220,7 +222,7 @@
                 "Content-Length : 4\r\n")) {
             try (RawCaller c = new RawCaller(callerPort)) {
                 c.write(head + framing + "\r\n0\r\n\r\nPOST /book/ HTTP/1.1\r\nHost: h.example\r\n\r\n");
-                assertEquals(400, c.read().status(), framing);
+                assertEquals(400, c.readResponse().status(), framing);
             }
         }
         assertEquals(List.of(), u.received());
@@ -228,89 +230,90 @@
 
     @Test
     void oversizedRequestsAreRefused() throws IOException {
-        serve("a", (r, reply) -> reply.whole("200 OK", "hello"));
+        addUpstream("a", (r, reply) -> reply.whole("200 OK", "hello"));
         try (RawCaller c = new RawCaller(callerPort)) {
             c.write("GET /look/ HTTP/1.1\r\nHost: h.example\r\nX: " + "x".repeat(3000) + "\r\n\r\n");
-            assertEquals(431, c.read().status());
+            assertEquals(431, c.readResponse().status());
         }
         try (RawCaller c = new RawCaller(callerPort)) {
             c.write("POST /book/ HTTP/1.1\r\nHost: h.example\r\nContent-Length: 1000000\r\n\r\n");
-            assertEquals(413, c.read().status());
+            assertEquals(413, c.readResponse().status());
         }
     }
 
     @Test
-    void aCallerThatDoesNotFinishItsHeadIsToldSo() throws IOException {
-        serve("a", (r, reply) -> reply.whole("200 OK", "hello"));
+    void anIncompleteHeadIsAnsweredWith408() throws IOException {
+        addUpstream("a", (r, reply) -> reply.whole("200 OK", "hello"));
         try (RawCaller c = new RawCaller(callerPort)) {
             c.write("GET /look/ HTTP/1.1\r\nHost: h.exa");
-            assertEquals(408, c.read().status());
+            assertEquals(408, c.readResponse().status());
         }
     }
 
     @Test
-    void aDrainingUpstreamGetsNothingNewAndAnOlderConfigurationIsNotTaken() throws IOException {
-        FakeHttpUpstream a = serve("a", (r, reply) -> reply.whole("200 OK", "a"));
-        FakeHttpUpstream b = serve("b", (r, reply) -> reply.whole("200 OK", "b"));
+    void aDrainingUpstreamReceivesNoNewRequestsAndAnOlderConfigurationIsIgnored() throws IOException {
+        FakeHttpUpstream a = addUpstream("a", (r, reply) -> reply.whole("200 OK", "a"));
+        FakeHttpUpstream b = addUpstream("b", (r, reply) -> reply.whole("200 OK", "b"));
         store.put("servers/a", a.entry("svc", "draining"));
         store.put("op/config", configuration(3).replace("/look/", "/gone/"));
-        long before = store.reads();
-        await("the change is read", () -> store.reads() >= before + 3);
-        int served = a.received().size();
+        long readsBefore = store.reads();
+        await("the change is read", () -> store.reads() >= readsBefore + 3);
+        int servedBefore = a.received().size();
         try (RawCaller c = new RawCaller(callerPort)) {
             for (int i = 1; i <= 10; i++) {
-                c.request("GET", "/look/", "id-" + i, "");
-                assertEquals("b", c.read().body());
+                c.sendRequest("GET", "/look/", "id-" + i, "");
+                assertEquals("b", c.readResponse().body());
             }
         }
-        assertEquals(served, a.received().size());
+        assertEquals(servedBefore, a.received().size());
         assertEquals(10, b.received().size());
     }
 
     @Test
-    void requestsAreServedWhileTheStoreIsAwayAndChangesAreReadAfterIt() throws IOException {
-        serve("a", (r, reply) -> reply.whole("200 OK", "a"));
+    void requestsAreServedDuringAStoreOutageAndChangesAreReadAfterwards() throws IOException {
+        addUpstream("a", (r, reply) -> reply.whole("200 OK", "a"));
         store.setMode(FakePlatformStore.Mode.SILENT);
-        long before = store.reads();
-        await("the store is missed", () -> store.reads() >= before + 4);
+        long readsBefore = store.reads();
+        await("the gateway has sent reads to the silent store", () -> store.reads() >= readsBefore + 4);
         store.put("op/config", configuration(9).replace("/look/", "/see/"));
         store.compact();
         try (RawCaller c = new RawCaller(callerPort)) {
-            c.request("GET", "/look/", "id-1", "");
-            assertEquals("a", c.read().body());
+            c.sendRequest("GET", "/look/", "id-1", "");
+            assertEquals("a", c.readResponse().body());
             store.setMode(FakePlatformStore.Mode.UP);
-            await("the new route is there", () -> status(c, "/see/") == 200);
-            assertEquals(404, status(c, "/look/"));
+            await("the new route is in force", () -> requestStatus(c, "/see/") == 200);
+            assertEquals(404, requestStatus(c, "/look/"));
         }
     }
 
     @Test
-    void aGatewayThatTheStoreTurnsAwayLearnsFromItsPeers() throws IOException {
-        FakeHttpUpstream a = serve("a", (r, reply) -> reply.whole("200 OK", "a"));
-        FakeHttpUpstream b = serve("b", (r, reply) -> reply.whole("200 OK", "b"));
+    void aGatewayThatTheStoreDoesNotServeReadsFromItsPeers() throws IOException {
+        FakeHttpUpstream a = addUpstream("a", (r, reply) -> reply.whole("200 OK", "a"));
+        FakeHttpUpstream b = addUpstream("b", (r, reply) -> reply.whole("200 OK", "b"));
         store.setMode(FakePlatformStore.Mode.HANGING);
-        long lost = System.nanoTime();
-        try (FakePlatformStore others = new FakePlatformStore();
+        long outageStartNanos = System.nanoTime();
+        try (FakePlatformStore peerStore = new FakePlatformStore();
                 RawCaller c = new RawCaller(callerPort)) {
-            // Stands for the same store, which goes on for the peer.
+            // Represents the same store, which still serves the peer.
             for (int i = 0; i < 100; i++) {
-                others.put("servers/b", b.entry("svc", "ready"));
+                peerStore.put("servers/b", b.entry("svc", "ready"));
             }
-            others.put("servers/a", a.entry("svc", "draining"));
-            others.put("op/config", configuration(9).replace("key-1", "key-2").replace("/stream/", "/flow/"));
-            gateway(TestPorts.next(), TestPorts.next(), others, Optional.of(local(peerPort)), List.of())
+            peerStore.put("servers/a", a.entry("svc", "draining"));
+            peerStore.put(
+                    "op/config", configuration(9).replace("key-1", "key-2").replace("/stream/", "/flow/"));
+            createGateway(TestPorts.next(), TestPorts.next(), peerStore, Optional.of(localAddress(peerPort)), List.of())
                     .start();
-            await("the key is taken away", () -> status(c, "/look/") == 401);
-            long ms = Duration.ofNanos(System.nanoTime() - lost).toMillis();
-            // The users' bound for a change while the store turns some machines away.
+            await("the old key is refused", () -> requestStatus(c, "/look/") == 401);
+            long ms = Duration.ofNanos(System.nanoTime() - outageStartNanos).toMillis();
+            // The users' limit for the time until a change is in force while the store doesn't serve some machines.
             assertTrue(ms < 7000, "after " + ms + " ms");
-            int served = a.received().size();
+            int servedBefore = a.received().size();
             for (int i = 1; i <= 10; i++) {
                 c.write("GET /look/ HTTP/1.1\r\nHost: h.example\r\nCitrontide-Attempt-Id: new-" + i
                         + "\r\nAuthorization: Bearer key-2\r\n\r\n");
-                assertEquals("b", c.read().body());
+                assertEquals("b", c.readResponse().body());
             }
-            assertEquals(served, a.received().size());
+            assertEquals(servedBefore, a.received().size());
         }
     }
 
@@ -320,24 +323,24 @@
     }
 
     @Test
-    void entriesThatAreDamagedNameNoUpstreamAndHarmNoOther() throws IOException {
-        FakeHttpUpstream a = serve("a", (r, reply) -> reply.whole("200 OK", "a"));
+    void invalidEntriesAreIgnoredAndDoNotAffectOthers() throws IOException {
+        FakeHttpUpstream a = addUpstream("a", (r, reply) -> reply.whole("200 OK", "a"));
         store.put("servers/x1", "{\"service\":\"svc\"");
         store.put("servers/x2", a.entry("svc", "resting"));
         store.put("servers/x3", a.entry("svc", "ready").replace("\"slots\":4", "\"slots\":\"4\""));
         store.put("op/config", "{\"version\":99,\"routes\":7}");
-        long before = store.reads();
-        await("the entries are read", () -> store.reads() >= before + 3);
+        long readsBefore = store.reads();
+        await("the entries are read", () -> store.reads() >= readsBefore + 3);
         try (RawCaller c = new RawCaller(callerPort)) {
             for (int i = 1; i <= 10; i++) {
-                assertEquals(200, status(c, "/look/"));
+                assertEquals(200, requestStatus(c, "/look/"));
             }
         }
         assertTrue(a.received().stream()
                 .allMatch(r -> r.header("Citrontide-Expect-Instance").equals("a")));
     }
 
-    private static void answerOrReject(boolean isFirst, FakeHttpUpstream.Reply reply) throws IOException {
+    private static void rejectFirst(boolean isFirst, FakeHttpUpstream.Reply reply) throws IOException {
         if (isFirst) {
             reply.raw("HTTP/1.1 503 Service Unavailable\r\nCitrontide-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n");
         } else {
--- a/gateway/src/test/java/org/citrontide/gateway/PlannedStopTest.java
+++ b/gateway/src/test/java/org/citrontide/gateway/PlannedStopTest.java
@@ -6,33 +6,33 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
-/** Plays planned stops of a whole gateway. */
+/** Tests planned stops of a complete gateway. */
 final class PlannedStopTest extends GatewayHarness {
     @Test
-    void aPlannedStopFinishesWhatRunsAndTellsTheBalancerFirst() throws Exception {
-        serve("a", (r, reply) -> {
+    void aPlannedStopTurnsReadinessOffFirstAndCompletesOpenRequests() throws Exception {
+        addUpstream("a", (r, reply) -> {
             pause(1500);
             reply.whole("200 OK", "late but whole");
         });
         try (RawCaller c = new RawCaller(callerPort)) {
-            c.request("POST", "/book/", "id-1", "");
+            c.sendRequest("POST", "/book/", "id-1", "");
             pause(100);
             Thread stopper = Thread.ofVirtual().start(daemon::stop);
-            await("readiness is off", () -> readiness() == 503);
+            await("readiness is off", () -> readinessStatus() == 503);
             try (RawCaller late = new RawCaller(callerPort)) {
-                late.request("POST", "/book/", "id-2", "");
-                RawCaller.Answer answer = c.read();
-                assertEquals("late but whole", answer.body());
-                assertEquals("close", answer.header("Connection"));
-                assertEquals("late but whole", late.read().body());
+                late.sendRequest("POST", "/book/", "id-2", "");
+                RawCaller.Response response = c.readResponse();
+                assertEquals("late but whole", response.body());
+                assertEquals("close", response.header("Connection"));
+                assertEquals("late but whole", late.readResponse().body());
             }
             stopper.join();
         }
     }
 
     @Test
-    void aRequestThatComesLateInAStopIsRefusedAsNotRunAndNotGivenUp() throws Exception {
-        FakeHttpUpstream u = serve("a", (r, reply) -> {
+    void aRequestLateInAPlannedStopIsRefusedAsNotRun() throws Exception {
+        FakeHttpUpstream u = addUpstream("a", (r, reply) -> {
             pause(5000);
             reply.whole("200 OK", "long work");
         });
@@ -43,8 +43,8 @@
             Thread stopper = Thread.ofVirtual().start(daemon::stop);
             pause(3600);
             try (RawCaller late = new RawCaller(callerPort)) {
-                late.request("POST", "/book/", "id-2", "");
-                RawCaller.Answer refusal = late.read();
+                late.sendRequest("POST", "/book/", "id-2", "");
+                RawCaller.Response refusal = late.readResponse();
                 assertEquals(503, refusal.status());
                 assertFalse(refusal.header("Retry-After").isEmpty());
             }
--- a/gateway/src/test/java/org/citrontide/gateway/RawCaller.java
+++ b/gateway/src/test/java/org/citrontide/gateway/RawCaller.java
@@ -7,15 +7,15 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** A caller that writes bytes as they are and reads whole answers. Confined to its test's thread. */
+/** A caller that writes arbitrary bytes and reads complete responses. Confined to the thread of its test. */
 final class RawCaller implements AutoCloseable {
     private static final int TIMEOUT_MS = 10_000;
 
     private final Socket socket;
     private final InputStream in;
 
-    /** An answer: its head, its body, and whether it came whole. */
-    record Answer(String head, String body, boolean isWhole) {
+    /** A response: its head, its body, and whether it was received completely. */
+    record Response(String head, String body, boolean isComplete) {
         int status() {
             return Integer.parseInt(head.split(" ", 3)[1]);
         }
@@ -41,23 +41,23 @@
     }
 
     /** Sends a request with the usual headers. */
-    void request(String method, String target, String id, String body) throws IOException {
+    void sendRequest(String method, String target, String id, String body) throws IOException {
         write(method + " " + target + " HTTP/1.1\r\nHost: h.example\r\nCitrontide-Attempt-Id: " + id
                 + "\r\nCitrontide-Deadline-Ms: 3000\r\nAuthorization: Bearer key-1\r\nContent-Length: "
                 + body.length() + "\r\n\r\n" + body);
     }
 
-    Answer read() throws IOException {
-        String head = head();
+    Response readResponse() throws IOException {
+        String head = readHead();
         if (head.toLowerCase(Locale.ROOT).contains("transfer-encoding: chunked")) {
-            return chunked(head);
+            return readChunked(head);
         }
-        int length = Integer.parseInt(new Answer(head, "", true).header("content-length"));
+        int length = Integer.parseInt(new Response(head, "", true).header("content-length"));
         byte[] body = in.readNBytes(length);
-        return new Answer(head, new String(body, StandardCharsets.UTF_8), body.length == length);
+        return new Response(head, new String(body, StandardCharsets.UTF_8), body.length == length);
     }
 
-    /** Reads until the connection ends. */
+    /** Reads until the connection is closed. */
     String readToEnd() throws IOException {
         return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
@@ -67,38 +67,38 @@
         socket.close();
     }
 
-    private Answer chunked(String head) throws IOException {
+    private Response readChunked(String head) throws IOException {
         StringBuilder body = new StringBuilder();
         while (true) {
-            String size = line();
+            String size = readLine();
             if (size.isEmpty()) {
-                return new Answer(head, body.toString(), false);
+                return new Response(head, body.toString(), false);
             }
-            int n = Integer.parseInt(size.trim(), 16);
-            byte[] chunk = in.readNBytes(n);
+            int length = Integer.parseInt(size.trim(), 16);
+            byte[] chunk = in.readNBytes(length);
             body.append(new String(chunk, StandardCharsets.UTF_8));
-            line();
-            if (n == 0) {
-                return new Answer(head, body.toString(), true);
+            readLine();
+            if (length == 0) {
+                return new Response(head, body.toString(), true);
             }
         }
     }
 
-    private String head() throws IOException {
+    private String readHead() throws IOException {
         StringBuilder head = new StringBuilder();
-        for (String l = line(); !l.isEmpty(); l = line()) {
-            head.append(l).append("\r\n");
+        for (String line = readLine(); !line.isEmpty(); line = readLine()) {
+            head.append(line).append("\r\n");
         }
         return head.toString();
     }
 
-    private String line() throws IOException {
-        ByteArrayOutputStream b = new ByteArrayOutputStream();
+    private String readLine() throws IOException {
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream();
         for (int c = in.read(); c >= 0 && c != '\n'; c = in.read()) {
             if (c != '\r') {
-                b.write(c);
+                buffer.write(c);
             }
         }
-        return b.toString(StandardCharsets.UTF_8);
+        return buffer.toString(StandardCharsets.UTF_8);
     }
 }
