--- a/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayDaemon.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayDaemon.java
@@ -65,20 +65,20 @@
         }
         long end = System.nanoTime() + settings.stopLimit().toNanos();
         long notice = System.nanoTime() + BALANCER_NOTICE.toNanos();
-        parts.loop().next().execute(() -> parts.shell().stop());
+        parts.loop().next().execute(() -> parts.shell().setStopping());
         LOG.info("stopping").with("open", parts.shell().openRequests()).write();
         while (System.nanoTime() < notice) {
             pause();
         }
         parts.loop().next().execute(() -> {
-            parts.shell().refuseNew();
+            parts.shell().refuseNewRequests();
             parts.controlPlane().stop();
         });
         while (System.nanoTime() < end
                 && (parts.shell().openRequests() > 0 || parts.controlPlane().isHolding())) {
             pause();
         }
-        parts.loop().next().execute(() -> parts.callerServer().closeIdle());
+        parts.loop().next().execute(() -> parts.callerServer().closeIdleConnections());
         pause();
         LOG.info("stopped").with("cut-off", parts.shell().openRequests()).write();
         stopped.countDown();
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/OpenExchange.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/OpenExchange.java
@@ -5,22 +5,22 @@
 
 import org.citrontide.core.gateway.GatewayRequest;
 import org.citrontide.gateway.caller.CallerRequest;
-import org.citrontide.gateway.upstream.EventCutter;
+import org.citrontide.gateway.upstream.EventStreamMerger;
 import org.citrontide.gateway.upstream.UpstreamAttempt;
 
 /**
- * A caller's request without a final answer, and its latest attempt. Not thread-safe: owned by the event loop.
+ * A caller's request without a final response, and its latest attempt. Not thread-safe: owned by the event loop.
  */
 final class OpenExchange {
     final CallerRequest caller;
     final GatewayRequest request;
-    final EventCutter events = new EventCutter();
+    final EventStreamMerger eventMerger = new EventStreamMerger();
     Optional<UpstreamAttempt> attempt = Optional.empty();
-    boolean begun;
+    boolean responseStarted;
     int attempts;
 
-    /** Time from the arrival to the first attempt, once there was one. */
-    Optional<Duration> waited = Optional.empty();
+    /** Time from the arrival of the request to its first attempt, empty before that. */
+    Optional<Duration> timeToFirstAttempt = Optional.empty();
 
     OpenExchange(CallerRequest caller, GatewayRequest request) {
         this.caller = caller;
