--- a/gateway/src/main/java/org/citrontide/gateway/daemon/ControlPlane.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/ControlPlane.java
@@ -12,9 +12,9 @@
 import org.citrontide.core.routes.RoutingTable;
 import org.citrontide.gateway.dispatch.GatewayShell;
 import org.citrontide.gateway.maps.MapShell;
-import org.citrontide.gateway.store.GatewayRegister;
-import org.citrontide.gateway.store.HttpCaller;
-import org.citrontide.gateway.store.Leadership;
+import org.citrontide.gateway.store.GatewayRegistration;
+import org.citrontide.gateway.store.LeaderElection;
+import org.citrontide.gateway.store.PlatformClient;
 import org.citrontide.gateway.store.StoreMirror;
 
 /**
@@ -23,7 +23,7 @@
  *
  * <p>Not thread-safe: owned by the event loop, but for {@link #isLoaded} and {@link #isHolding}.
  */
-final class ControlPlane implements StoreMirror.Listener, Leadership.Listener {
+final class ControlPlane implements StoreMirror.Listener, LeaderElection.Listener {
     // A change of map waits for a tick at each of its steps, each of which delays better passes.
     private static final Duration LEADER_TICK = Duration.ofMillis(20);
     private static final Duration FOLLOWER_TICK = Duration.ofMillis(250);
@@ -31,8 +31,8 @@
     private final EventLoop loop;
     private final GatewayShell shell;
     private final StoreMirror mirror;
-    private final Leadership leadership;
-    private final GatewayRegister register;
+    private final LeaderElection leaderElection;
+    private final GatewayRegistration registration;
     private final MapShell maps;
     private final RetrySlackShare slack;
     private boolean leads;
@@ -49,16 +49,16 @@
         this.slack = slack;
         this.loop = loop;
         this.shell = shell;
-        HttpCaller caller = new HttpCaller(loop);
-        this.mirror = new StoreMirror(caller, settings.storeAddress(), settings.peers(), loop, random, this);
-        this.leadership = new Leadership(caller, settings.storeAddress(), loop, random, settings.vm(), this);
-        this.register = new GatewayRegister(caller, settings.storeAddress(), loop, random, settings.vm());
-        this.maps = new MapShell(caller, loop, leadership::check);
+        PlatformClient client = new PlatformClient(loop);
+        this.mirror = new StoreMirror(client, settings.storeAddress(), settings.peers(), loop, random, this);
+        this.leaderElection = new LeaderElection(client, settings.storeAddress(), loop, random, settings.vm(), this);
+        this.registration = new GatewayRegistration(client, settings.storeAddress(), loop, random, settings.vm());
+        this.maps = new MapShell(client, loop, leaderElection::checkLease);
     }
 
     void start() {
         mirror.start();
-        register.start();
+        registration.start();
         tick();
     }
 
@@ -81,24 +81,24 @@
     }
 
     @Override
-    public void configured(RoutingTable table) {
+    public void configurationChanged(RoutingTable table) {
         shell.configured(table);
         maps.configured(table);
     }
 
     @Override
-    public void listed(List<ListedUpstream> upstreams) {
+    public void upstreamsUpdated(List<ListedUpstream> upstreams) {
         shell.listed(upstreams);
         maps.listed(upstreams);
     }
 
     @Override
-    public void leaderKey(boolean isHeld) {
-        leadership.keySeen(isHeld);
+    public void leaderKeyUpdated(boolean isHeld) {
+        leaderElection.handleLeaderKey(isHeld);
     }
 
     @Override
-    public void gateways(int count) {
+    public void gatewayCountUpdated(int count) {
         slack.setGatewayCount(count);
     }
 
@@ -115,7 +115,7 @@
     }
 
     private void tick() {
-        leadership.check();
+        leaderElection.checkLease();
         maps.tick();
         holding = maps.isHolding();
         resignIfPossible();
@@ -126,7 +126,7 @@
     private void resignIfPossible() {
         if (stopping && !resigned && !maps.isHolding()) {
             resigned = true;
-            leadership.resign();
+            leaderElection.resign();
         }
     }
 }
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
@@ -28,7 +28,7 @@
 import org.citrontide.gateway.caller.CallerRequest;
 import org.citrontide.gateway.filter.GatewayFilter;
 import org.citrontide.gateway.filter.RequestHead;
-import org.citrontide.gateway.store.HttpCaller;
+import org.citrontide.gateway.store.PlatformClient;
 import org.citrontide.gateway.upstream.AnswerHead;
 import org.citrontide.gateway.upstream.AttemptListener;
 import org.citrontide.gateway.upstream.ReportReader;
@@ -75,7 +75,7 @@
     public GatewayShell(GatewayDispatcher dispatcher, EventLoop loop, RandomGenerator random, GatewayMetrics metrics) {
         this.dispatcher = dispatcher;
         this.connections = new UpstreamConnections(loop, this);
-        this.reports = new ReportReader(new HttpCaller(loop));
+        this.reports = new ReportReader(new PlatformClient(loop));
         this.random = random;
         this.metrics = metrics;
         loop.scheduleAtFixedRate(this::tick, TICK.toMillis(), TICK.toMillis(), TimeUnit.MILLISECONDS);
--- a/gateway/src/main/java/org/citrontide/gateway/maps/MapShell.java
+++ b/gateway/src/main/java/org/citrontide/gateway/maps/MapShell.java
@@ -21,8 +21,8 @@
 import org.citrontide.core.routes.ListedUpstream;
 import org.citrontide.core.routes.RoutingTable;
 import org.citrontide.core.routes.ServiceProfile;
-import org.citrontide.gateway.store.HttpCaller;
-import org.citrontide.gateway.store.HttpReply;
+import org.citrontide.gateway.store.PlatformClient;
+import org.citrontide.gateway.store.PlatformResponse;
 import org.citrontide.gateway.upstream.ReportReader;
 import org.citrontide.platform.DecodeException;
 import org.citrontide.platform.EngineCalls;
@@ -44,7 +44,7 @@
     private static final int SEARCH_STEPS = 40;
     private static final int OK = 200;
 
-    private final HttpCaller caller;
+    private final PlatformClient client;
     private final ReportReader reports;
     private final EventLoop loop;
     private final Executor planner = Executors.newSingleThreadExecutor(
@@ -58,14 +58,14 @@
     /**
      * Makes a shell without controllers.
      *
-     * @param caller sends calls to the upstreams
+     * @param client client for the calls to the upstreams
      * @param loop event loop
      * @param leaseCheck calls {@link #deposed} if the lease is over; run before each event, since a process may have
      *     been suspended just before it
      */
-    public MapShell(HttpCaller caller, EventLoop loop, Runnable leaseCheck) {
-        this.caller = caller;
-        this.reports = new ReportReader(caller);
+    public MapShell(PlatformClient client, EventLoop loop, Runnable leaseCheck) {
+        this.client = client;
+        this.reports = new ReportReader(client);
         this.loop = loop;
         this.leaseCheck = leaseCheck;
     }
@@ -215,13 +215,13 @@
         });
     }
 
-    private void call(String id, PlatformCall call, Duration timeout, Consumer<Optional<HttpReply>> then) {
+    private void call(String id, PlatformCall call, Duration timeout, Consumer<Optional<PlatformResponse>> then) {
         ListedUpstream u = upstreams.get(id);
         if (u == null) {
             loop.execute(() -> then.accept(Optional.empty()));
             return;
         }
-        caller.call(new InetSocketAddress(u.host(), u.port()), call.onlyFor(id), timeout)
+        client.call(new InetSocketAddress(u.host(), u.port()), call.onlyFor(id), timeout)
                 .whenComplete((reply, failure) -> then.accept(Optional.ofNullable(reply)));
     }
 
--- /dev/null
+++ b/gateway/src/main/java/org/citrontide/gateway/store/LeaderElection.java
@@ -0,0 +1,249 @@
+package org.citrontide.gateway.store;
+
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.List;
+import java.util.Map;
+import java.util.OptionalLong;
+import java.util.concurrent.TimeUnit;
+import java.util.random.RandomGenerator;
+
+import io.netty.channel.EventLoop;
+import org.citrontide.core.lease.LeaseValidity;
+import org.citrontide.platform.DecodeException;
+import org.citrontide.platform.MetadataStore;
+import org.citrontide.platform.PlatformCall;
+import org.citrontide.runtime.log.EventLog;
+
+/**
+ * Elects one of the gateway processes as the leader: the one that wrote the leader key under a lease of the store.
+ *
+ * <p>Invariant: a process considers itself the leader only while its lease is certain to be valid, measured on both
+ * clocks from before the call that granted or renewed the lease. Not thread-safe: confined to the event loop.
+ */
+public final class LeaderElection {
+    /** Key that the leader writes; its value is the name of the leader's VM. */
+    public static final String LEADER_KEY = "citrontide/map-controller";
+
+    private static final EventLog LOG = EventLog.of(LeaderElection.class);
+    private static final Duration LEASE_TTL = Duration.ofMillis(2000);
+    private static final Duration RENEWAL_INTERVAL = Duration.ofMillis(600);
+    private static final Duration CALL_TIMEOUT = Duration.ofMillis(500);
+    // Candidates leave the key of an exited leader to its lease. Once the key is gone, they start after a random delay
+    // up to this limit, so that their attempts are spread.
+    private static final Duration MAX_CANDIDACY_DELAY = Duration.ofMillis(300);
+    private static final int OK = 200;
+
+    /** Receives the start and the end of each term of this process. */
+    public interface Listener {
+
+        /**
+         * Called when this process becomes the leader.
+         *
+         * @param term number of the term, higher than that of any earlier term
+         */
+        void elected(long term);
+
+        /** Called when this process is no longer the leader. */
+        void deposed();
+    }
+
+    private final PlatformClient client;
+    private final InetSocketAddress store;
+    private final EventLoop loop;
+    private final RandomGenerator random;
+    private final String vm;
+    private final Listener listener;
+    private final LeaseValidity lease = new LeaseValidity(LEASE_TTL);
+    private OptionalLong leaseNumber = OptionalLong.empty();
+    private boolean isLeader;
+    private boolean isAttemptPending;
+    private boolean isKeyHeld = true;
+    private boolean hasResigned;
+
+    /**
+     * Creates a candidate.
+     *
+     * @param client client for the calls to the store
+     * @param store address of the store
+     * @param loop event loop that runs all calls and timers
+     * @param random source of the random delays that spread the attempts of many processes
+     * @param vm name of this VM, written as the value of the leader key
+     * @param listener listener for terms
+     */
+    public LeaderElection(
+            PlatformClient client,
+            InetSocketAddress store,
+            EventLoop loop,
+            RandomGenerator random,
+            String vm,
+            Listener listener) {
+        this.client = client;
+        this.store = store;
+        this.loop = loop;
+        this.random = random;
+        this.vm = vm;
+        this.listener = listener;
+    }
+
+    /**
+     * Handles the state of the leader key as read from the store. If no process holds the key, this process becomes a
+     * candidate after a random delay.
+     *
+     * @param isHeld whether the key exists
+     */
+    public void handleLeaderKey(boolean isHeld) {
+        isKeyHeld = isHeld;
+        if (!isHeld && isLeader) {
+            depose("key removed");
+        }
+        if (!isHeld && !isAttemptPending && !hasResigned) {
+            isAttemptPending = true;
+            loop.schedule(this::requestLease, random.nextLong(MAX_CANDIDACY_DELAY.toNanos()), TimeUnit.NANOSECONDS);
+        }
+    }
+
+    /**
+     * Ends the term if the lease is no longer valid. Called periodically, and before each action that needs the lease.
+     */
+    public void checkLease() {
+        if (isLeader && !lease.isValid(System.nanoTime(), System.currentTimeMillis())) {
+            depose("lease not renewed in time");
+        }
+    }
+
+    /**
+     * Ends the term and its lease, so that another process can be elected immediately. This process doesn't stand for
+     * election again.
+     */
+    public void resign() {
+        hasResigned = true;
+        if (isLeader) {
+            depose("stopping");
+        }
+        leaseNumber.ifPresent(this::endLease);
+    }
+
+    private void requestLease() {
+        isAttemptPending = false;
+        if (isKeyHeld || hasResigned || isLeader) {
+            return;
+        }
+        isAttemptPending = true;
+        lease.requestSent(System.nanoTime(), System.currentTimeMillis());
+        client.call(store, MetadataStore.lease(LEASE_TTL), CALL_TIMEOUT).whenComplete((response, failure) -> {
+            isAttemptPending = false;
+            if (failure != null || response.status() != OK) {
+                scheduleRetry();
+                return;
+            }
+            try {
+                writeLeaderKey(MetadataStore.leaseNumber(response.body()));
+            } catch (DecodeException e) {
+                LOG.warn("lease-unreadable").with("why", e.getMessage()).write();
+                scheduleRetry();
+            }
+        });
+    }
+
+    private void writeLeaderKey(long number) {
+        isAttemptPending = true;
+        byte[] value = vm.getBytes(StandardCharsets.UTF_8);
+        PlatformCall put =
+                MetadataStore.transaction(Map.of(LEADER_KEY, 0L), Map.of(LEADER_KEY, value), number, List.of());
+        client.call(store, put, CALL_TIMEOUT).whenComplete((response, failure) -> {
+            isAttemptPending = false;
+            if (failure != null || response.status() != OK || hasResigned) {
+                // A write without a response may still be carried out; ending the lease removes its key.
+                isKeyHeld = true;
+                endLease(number);
+                return;
+            }
+            try {
+                startTerm(number, MetadataStore.revision(response.body()));
+            } catch (DecodeException e) {
+                LOG.warn("lease-unreadable").with("why", e.getMessage()).write();
+                endLease(number);
+            }
+        });
+    }
+
+    private void startTerm(long number, long term) {
+        leaseNumber = OptionalLong.of(number);
+        lease.granted();
+        if (!lease.isValid(System.nanoTime(), System.currentTimeMillis())) {
+            endLease(number);
+            return;
+        }
+        isLeader = true;
+        isKeyHeld = true;
+        LOG.info("elected").with("term", term).with("lease", number).write();
+        listener.elected(term);
+        renewLater();
+    }
+
+    private void renewLater() {
+        loop.schedule(this::renew, RENEWAL_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
+    }
+
+    private void renew() {
+        checkLease();
+        if (!isLeader) {
+            return;
+        }
+        long number = leaseNumber.orElseThrow();
+        lease.requestSent(System.nanoTime(), System.currentTimeMillis());
+        client.call(store, MetadataStore.renew(number), CALL_TIMEOUT).whenComplete((response, failure) -> {
+            if (!isLeader || leaseNumber.isEmpty() || leaseNumber.getAsLong() != number) {
+                return;
+            }
+            if (failure == null && response.status() == MetadataStore.STATUS_MISSING) {
+                depose("lease ended");
+                return;
+            }
+            if (failure == null && response.status() == OK) {
+                lease.granted();
+            }
+            renewLater();
+        });
+    }
+
+    private void depose(String reason) {
+        isLeader = false;
+        LOG.info("deposed")
+                .with("why", reason)
+                .with("lease", leaseNumber.orElse(0))
+                .write();
+        listener.deposed();
+    }
+
+    private void endLease(long number) {
+        leaseNumber = OptionalLong.empty();
+        client.call(store, MetadataStore.endLease(number), CALL_TIMEOUT).whenComplete((response, failure) -> {
+            if (failure != null) {
+                LOG.info("lease-end-unanswered").with("lease", number).write();
+            }
+        });
+        scheduleRetry();
+    }
+
+    /**
+     * Schedules another attempt after a failure. The mirror reports that the key was removed, but not that it was never
+     * written.
+     */
+    private void scheduleRetry() {
+        if (hasResigned) {
+            return;
+        }
+        loop.schedule(
+                () -> {
+                    if (!isKeyHeld && !isAttemptPending) {
+                        isAttemptPending = true;
+                        requestLease();
+                    }
+                },
+                LEASE_TTL.toMillis(),
+                TimeUnit.MILLISECONDS);
+    }
+}
--- a/gateway/src/main/java/org/citrontide/gateway/store/StoreMirror.java
+++ b/gateway/src/main/java/org/citrontide/gateway/store/StoreMirror.java
@@ -27,95 +27,97 @@
 import org.citrontide.runtime.log.EventLog;
 
 /**
- * Follows the store: one watch over all its keys brings the configuration and the list of upstreams.
+ * Mirrors the store: a single watch over all keys delivers the configuration and the list of upstreams.
  *
- * <p>Invariants: a version of the configuration is handed on only if it is higher than the last one; an entry that
- * can't be decoded names no upstream and leaves the others as they are. Not thread-safe: owned by the event loop.
+ * <p>Invariants: a version of the configuration is passed on only if it is higher than the previous one; an entry that
+ * can't be decoded yields no upstream and doesn't affect the others. Not thread-safe: confined to the event loop.
  */
 public final class StoreMirror {
     private static final EventLog LOG = EventLog.of(StoreMirror.class);
     private static final String ALL_KEYS = "";
-    // The store answers at once when anything changed, and heartbeats always did: one call a pause carries all of them.
-    private static final Duration PAUSE = Duration.ofMillis(750);
-    private static final Duration WAIT = Duration.ofMillis(1000);
-    // Longer than the wait and a slow answer; a silent connection is given up by then.
-    private static final Duration TIMEOUT = Duration.ofMillis(1800);
-    // While the store is missed, a call only finds out whether it is back; a slow answer takes a quarter of a second.
-    private static final Duration AWAY_TIMEOUT = Duration.ofMillis(700);
-    // The pause grows to this many times the first one, so that a long outage costs few calls.
-    private static final int MOST_PAUSES = 5;
-    private static final Duration RETRY = Duration.ofMillis(150);
-    private static final Duration RETRY_SPREAD = Duration.ofMillis(150);
-    // A peer's copy is of use if it is newer than what a store that fails could have told.
-    private static final Duration FRESH = Duration.ofMillis(2500);
+    // A watch returns as soon as any key changes, and heartbeats change keys all the time: with this pause between the
+    // calls, one response carries all changes.
+    private static final Duration WATCH_PAUSE = Duration.ofMillis(750);
+    private static final Duration WATCH_WAIT = Duration.ofMillis(1000);
+    // Longer than the wait plus a slow response; a connection that is silent for this long is abandoned.
+    private static final Duration CALL_TIMEOUT = Duration.ofMillis(1800);
+    // During an outage, a call only probes whether the store is available again; a slow response takes a quarter of a
+    // second.
+    private static final Duration OUTAGE_CALL_TIMEOUT = Duration.ofMillis(700);
+    // The backoff grows to at most this many times its initial value, so that a long outage costs few calls.
+    private static final int MAX_BACKOFF_FACTOR = 5;
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(150);
+    private static final Duration MAX_JITTER = Duration.ofMillis(150);
+    // The copy is useful to a peer only if it is newer than what a failing store could have returned.
+    private static final Duration MAX_COPY_AGE = Duration.ofMillis(2500);
     private static final Duration PEER_TIMEOUT = Duration.ofMillis(500);
     private static final int OK = 200;
 
-    /** Hears of what changed. */
+    /** Receives the changes read from the store. */
     public interface Listener {
 
         /**
-         * A higher version of the configuration was read.
+         * Called when a higher version of the configuration was read.
          *
          * @param table the configuration
          */
-        void configured(RoutingTable table);
+        void configurationChanged(RoutingTable table);
 
         /**
-         * The list of upstreams changed.
+         * Called when the list of upstreams was read or may have changed.
          *
-         * @param upstreams all that may be used
+         * @param upstreams all upstreams considered available
          */
-        void listed(List<ListedUpstream> upstreams);
+        void upstreamsUpdated(List<ListedUpstream> upstreams);
 
         /**
-         * The key under which one process leads was written or removed.
+         * Called when the leader key was read, written or removed.
          *
-         * @param isHeld whether it is there
+         * @param isHeld whether the key exists
          */
-        void leaderKey(boolean isHeld);
+        void leaderKeyUpdated(boolean isHeld);
 
         /**
-         * The number of gateways changed.
+         * Called when the registrations of the gateways were read or changed.
          *
-         * @param count gateways that are registered
+         * @param count number of registered gateways
          */
-        void gateways(int count);
+        void gatewayCountUpdated(int count);
     }
 
-    private final HttpCaller caller;
+    private final PlatformClient client;
     private final InetSocketAddress store;
     private final EventLoop loop;
     private final RandomGenerator random;
     private final Listener listener;
-    private final MembershipView members = new MembershipView();
-    private final Set<String> reported = new HashSet<>();
+    private final MembershipView membership = new MembershipView();
+    private final Set<String> loggedOnce = new HashSet<>();
     private final Map<String, Item> copy = new TreeMap<>();
     private final List<InetSocketAddress> peers;
-    private int failures;
+    private int consecutiveFailures;
     private Optional<Long> revision = Optional.empty();
     private long version;
-    private boolean isAway;
-    private long answeredNanos = System.nanoTime();
+    private boolean isStoreUnavailable;
+    private long lastResponseNanos = System.nanoTime();
 
     /**
-     * Makes a mirror.
+     * Creates a mirror that has not read anything.
      *
-     * @param caller sends the calls
+     * @param client client for the calls to the store and to peers
      * @param store address of the store
-     * @param peers addresses of gateways that are asked for their copy while the store turns this one away
-     * @param loop event loop
-     * @param random spreads the retries of many processes
-     * @param listener hears of changes
+     * @param peers addresses of the gateways whose copies are read while the store is unavailable to this one
+     * @param loop event loop that runs all calls and timers
+     * @param random source of the jitter that spreads the retries of many processes
+     * @param listener listener for changes
      */
     public StoreMirror(
-            HttpCaller caller,
+            PlatformClient client,
             InetSocketAddress store,
             List<InetSocketAddress> peers,
             EventLoop loop,
             RandomGenerator random,
             Listener listener) {
-        this.caller = caller;
+        this.client = client;
         this.store = store;
         this.peers = List.copyOf(peers);
         this.loop = loop;
@@ -123,31 +125,32 @@
         this.listener = listener;
     }
 
-    /** Begins to follow the store. */
+    /** Starts reading and watching the store. */
     public void start() {
-        next();
+        readOrWatch();
     }
 
     /**
-     * Says whether the list of upstreams was read.
+     * Returns whether the list of upstreams has been read.
      *
-     * @return true after the first whole read
+     * @return true after a complete read, and false again while a new one is needed because the store has dropped the
+     *     history from which the watch would continue
      */
     public boolean isLoaded() {
         return revision.isPresent();
     }
 
     /**
-     * Returns what this mirror read of the store, for a peer.
+     * Returns this mirror's copy of the store, for a peer.
      *
-     * @return the items as an answer of the store, or empty if the store did not answer lately
+     * @return the items in the encoding of the store's own response, or empty if the store has not responded recently
      */
     public Optional<byte[]> page() {
-        boolean isFresh = !isAway && System.nanoTime() - answeredNanos < FRESH.toNanos();
+        boolean isFresh = !isStoreUnavailable && System.nanoTime() - lastResponseNanos < MAX_COPY_AGE.toNanos();
         return revision.filter(r -> isFresh).map(r -> MetadataStore.encodePage(copy.values(), r));
     }
 
-    private void next() {
+    private void readOrWatch() {
         if (revision.isEmpty()) {
             readAll("", new ArrayList<>());
         } else {
@@ -156,32 +159,35 @@
     }
 
     private void readAll(String after, List<Item> items) {
-        call(MetadataStore.range(ALL_KEYS, after), body -> {
+        callStore(MetadataStore.range(ALL_KEYS, after), body -> {
             MetadataStore.Page page = MetadataStore.page(body);
             items.addAll(page.items());
             if (page.truncated() && !page.items().isEmpty()) {
                 readAll(page.items().getLast().key(), items);
                 return;
             }
-            loaded(items);
+            handleFullRead(items);
             revision = Optional.of(page.revision());
             LOG.info("store-read")
                     .with("revision", page.revision())
-                    .with("upstreams", members.upstreams().size())
+                    .with("upstreams", membership.upstreams().size())
                     .write();
-            later(PAUSE);
+            schedule(WATCH_PAUSE);
         });
     }
 
-    /** Asks all peers: the store may turn away this process and serve others, and some peers may be away as well. */
-    private void askPeers() {
+    /**
+     * Reads the copies of all peers: the store may be unavailable to this process but not to others, and some of the
+     * peers may be unable to reach it as well.
+     */
+    private void readPeerCopies() {
         for (InetSocketAddress peer : peers) {
-            caller.call(peer, MetadataStore.range(ALL_KEYS, ""), PEER_TIMEOUT).whenComplete((reply, failure) -> {
-                if (failure != null || reply.status() != OK) {
+            client.call(peer, MetadataStore.range(ALL_KEYS, ""), PEER_TIMEOUT).whenComplete((response, failure) -> {
+                if (failure != null || response.status() != OK) {
                     return;
                 }
                 try {
-                    takeFromPeer(peer, MetadataStore.page(reply.body()));
+                    adoptPeerCopy(peer, MetadataStore.page(response.body()));
                 } catch (DecodeException e) {
                     LOG.warn("peer-unreadable")
                             .with("peer", peer)
@@ -192,7 +198,7 @@
         }
     }
 
-    private void takeFromPeer(InetSocketAddress peer, MetadataStore.Page page) {
+    private void adoptPeerCopy(InetSocketAddress peer, MetadataStore.Page page) {
         if (page.revision() <= revision.orElse(0L)) {
             return;
         }
@@ -201,61 +207,61 @@
                 .with("revision", page.revision())
                 .with("own-revision", revision.orElse(0L))
                 .write();
-        // The peer reads a store that works: what is missing there is gone.
-        members.storeAvailable(System.nanoTime());
-        loaded(page.items());
+        // The peer can read the store, so entries missing from its copy have been removed.
+        membership.storeAvailable(System.nanoTime());
+        handleFullRead(page.items());
         revision = Optional.of(page.revision());
     }
 
-    private void loaded(List<Item> items) {
+    private void handleFullRead(List<Item> items) {
         copy.clear();
-        items.forEach(this::keep);
+        items.forEach(this::addToCopy);
         List<ListedUpstream> upstreams = new ArrayList<>();
         for (Item i : items) {
             if (i.key().equals(ConfigurationDecoder.KEY)) {
-                configured(i);
+                handleConfiguration(i);
             }
             if (i.key().startsWith(UpstreamDecoder.PREFIX)) {
                 decode(i).ifPresent(upstreams::add);
             }
         }
-        listener.gateways(countGateways());
-        listener.leaderKey(items.stream().anyMatch(i -> i.key().equals(Leadership.KEY)));
-        members.replaceAll(upstreams, System.nanoTime());
-        listener.listed(members.upstreams());
+        listener.gatewayCountUpdated(countGateways());
+        listener.leaderKeyUpdated(items.stream().anyMatch(i -> i.key().equals(LeaderElection.LEADER_KEY)));
+        membership.replaceAll(upstreams, System.nanoTime());
+        listener.upstreamsUpdated(membership.upstreams());
     }
 
     private void watch(long after) {
-        call(MetadataStore.watch(ALL_KEYS, after, isAway ? Duration.ZERO : WAIT), body -> {
+        callStore(MetadataStore.watch(ALL_KEYS, after, isStoreUnavailable ? Duration.ZERO : WATCH_WAIT), body -> {
             MetadataStore.Changes changes = MetadataStore.changes(body);
-            changes.changes().forEach(this::changed);
-            members.expire(System.nanoTime());
+            changes.changes().forEach(this::handleChange);
+            membership.expire(System.nanoTime());
             if (!changes.changes().isEmpty()) {
-                listener.listed(members.upstreams());
+                listener.upstreamsUpdated(membership.upstreams());
             }
             revision = Optional.of(Math.max(after, changes.revision()));
-            later(PAUSE);
+            schedule(WATCH_PAUSE);
         });
     }
 
-    private void keep(Item i) {
+    private void addToCopy(Item i) {
         if (i.key().equals(ConfigurationDecoder.KEY)
                 || i.key().startsWith(UpstreamDecoder.PREFIX)
-                || i.key().startsWith(GatewayRegister.PREFIX)) {
+                || i.key().startsWith(GatewayRegistration.PREFIX)) {
             copy.put(i.key(), i);
         }
     }
 
-    private void changed(Change c) {
-        c.item().ifPresentOrElse(this::keep, () -> copy.remove(c.key()));
+    private void handleChange(Change c) {
+        c.item().ifPresentOrElse(this::addToCopy, () -> copy.remove(c.key()));
         if (c.key().equals(ConfigurationDecoder.KEY)) {
-            c.item().ifPresent(this::configured);
+            c.item().ifPresent(this::handleConfiguration);
         }
-        if (c.key().startsWith(GatewayRegister.PREFIX)) {
-            listener.gateways(countGateways());
+        if (c.key().startsWith(GatewayRegistration.PREFIX)) {
+            listener.gatewayCountUpdated(countGateways());
         }
-        if (c.key().equals(Leadership.KEY)) {
-            listener.leaderKey(c.item().isPresent());
+        if (c.key().equals(LeaderElection.LEADER_KEY)) {
+            listener.leaderKeyUpdated(c.item().isPresent());
         }
         if (!c.key().startsWith(UpstreamDecoder.PREFIX)) {
             return;
@@ -263,22 +269,22 @@
         String id = c.key().substring(UpstreamDecoder.PREFIX.length());
         Optional<ListedUpstream> upstream = c.item().flatMap(this::decode);
         if (upstream.isPresent()) {
-            noteDraining(upstream.get());
-            members.entryWritten(upstream.get());
+            logDraining(upstream.get());
+            membership.entryWritten(upstream.get());
             return;
         }
         LOG.info("upstream-removed").with("upstream", id).write();
-        members.entryRemoved(id, System.nanoTime());
+        membership.entryRemoved(id, System.nanoTime());
     }
 
     private int countGateways() {
         return (int) copy.keySet().stream()
-                .filter(k -> k.startsWith(GatewayRegister.PREFIX))
+                .filter(k -> k.startsWith(GatewayRegistration.PREFIX))
                 .count();
     }
 
-    private void noteDraining(ListedUpstream u) {
-        if (u.draining() && reported.add("draining " + u.id())) {
+    private void logDraining(ListedUpstream u) {
+        if (u.draining() && loggedOnce.add("draining " + u.id())) {
             LOG.info("upstream-draining").with("upstream", u.id()).write();
         }
     }
@@ -287,7 +293,7 @@
         try {
             return Optional.of(UpstreamDecoder.decode(i.key(), i.value()));
         } catch (DecodeException e) {
-            if (reported.add(i.key())) {
+            if (loggedOnce.add(i.key())) {
                 LOG.warn("upstream-entry-unusable")
                         .with("key", i.key())
                         .with("why", e.getMessage())
@@ -297,7 +303,7 @@
         }
     }
 
-    private void configured(Item i) {
+    private void handleConfiguration(Item i) {
         try {
             RoutingTable table = ConfigurationDecoder.decode(i.value());
             if (table.version() > version) {
@@ -305,9 +311,9 @@
                 LOG.info("configuration-in-force")
                         .with("version", version)
                         .with("revision", i.revision())
-                        .with("age-ms", ageMillis())
+                        .with("age-ms", millisSinceLastResponse())
                         .write();
-                listener.configured(table);
+                listener.configurationChanged(table);
             }
         } catch (DecodeException e) {
             LOG.warn("configuration-unusable")
@@ -319,66 +325,69 @@
         }
     }
 
-    private long ageMillis() {
-        return Duration.ofNanos(System.nanoTime() - answeredNanos).toMillis();
+    private long millisSinceLastResponse() {
+        return Duration.ofNanos(System.nanoTime() - lastResponseNanos).toMillis();
     }
 
-    private void call(PlatformCall call, AnswerReader reader) {
-        caller.call(store, call, isAway ? AWAY_TIMEOUT : TIMEOUT).whenComplete((reply, failure) -> {
-            if (failure != null) {
-                away(failure.getMessage());
-                return;
-            }
-            if (reply.status() == MetadataStore.STATUS_HISTORY_GONE) {
-                LOG.info("store-history-gone")
-                        .with("revision", revision.orElse(0L))
-                        .write();
-                revision = Optional.empty();
-                later(Duration.ZERO);
-                return;
-            }
-            if (reply.status() != OK) {
-                away("status " + reply.status());
-                return;
-            }
-            try {
-                back();
-                reader.read(reply.body());
-            } catch (DecodeException e) {
-                away(e.getMessage());
-            }
-        });
+    private void callStore(PlatformCall call, ResponseHandler handler) {
+        client.call(store, call, isStoreUnavailable ? OUTAGE_CALL_TIMEOUT : CALL_TIMEOUT)
+                .whenComplete((response, failure) -> {
+                    if (failure != null) {
+                        handleUnavailable(failure.getMessage());
+                        return;
+                    }
+                    if (response.status() == MetadataStore.STATUS_HISTORY_GONE) {
+                        LOG.info("store-history-gone")
+                                .with("revision", revision.orElse(0L))
+                                .write();
+                        revision = Optional.empty();
+                        schedule(Duration.ZERO);
+                        return;
+                    }
+                    if (response.status() != OK) {
+                        handleUnavailable("status " + response.status());
+                        return;
+                    }
+                    try {
+                        handleAvailable();
+                        handler.handle(response.body());
+                    } catch (DecodeException e) {
+                        handleUnavailable(e.getMessage());
+                    }
+                });
     }
 
-    private void away(String why) {
-        failures++;
-        members.storeUnavailable();
-        if (!isAway) {
-            isAway = true;
-            LOG.warn("store-lost").with("why", why).write();
+    private void handleUnavailable(String reason) {
+        consecutiveFailures++;
+        membership.storeUnavailable();
+        if (!isStoreUnavailable) {
+            isStoreUnavailable = true;
+            LOG.warn("store-lost").with("why", reason).write();
         }
-        askPeers();
-        Duration pause = RETRY.multipliedBy(Math.min(failures, MOST_PAUSES));
-        later(pause.plus(Duration.ofNanos(random.nextLong(RETRY_SPREAD.toNanos()))));
+        readPeerCopies();
+        Duration delay = INITIAL_BACKOFF.multipliedBy(Math.min(consecutiveFailures, MAX_BACKOFF_FACTOR));
+        schedule(delay.plus(Duration.ofNanos(random.nextLong(MAX_JITTER.toNanos()))));
     }
 
-    private void back() {
-        failures = 0;
-        members.storeAvailable(System.nanoTime());
-        if (isAway) {
-            isAway = false;
-            LOG.info("store-regained").with("after-ms", ageMillis()).write();
+    private void handleAvailable() {
+        consecutiveFailures = 0;
+        membership.storeAvailable(System.nanoTime());
+        if (isStoreUnavailable) {
+            isStoreUnavailable = false;
+            LOG.info("store-regained")
+                    .with("after-ms", millisSinceLastResponse())
+                    .write();
         }
-        answeredNanos = System.nanoTime();
+        lastResponseNanos = System.nanoTime();
     }
 
-    private void later(Duration pause) {
-        loop.schedule(this::next, pause.toNanos(), TimeUnit.NANOSECONDS);
+    private void schedule(Duration delay) {
+        loop.schedule(this::readOrWatch, delay.toNanos(), TimeUnit.NANOSECONDS);
     }
 
-    /** Reads the body of a successful answer. */
+    /** Handles the body of a successful response. */
     @FunctionalInterface
-    private interface AnswerReader {
-        void read(byte[] body) throws DecodeException;
+    private interface ResponseHandler {
+        void handle(byte[] body) throws DecodeException;
     }
 }
--- a/gateway/src/main/java/org/citrontide/gateway/upstream/ReportReader.java
+++ b/gateway/src/main/java/org/citrontide/gateway/upstream/ReportReader.java
@@ -7,8 +7,8 @@
 
 import org.citrontide.core.expertmap.RankReport;
 import org.citrontide.core.routes.ListedUpstream;
-import org.citrontide.gateway.store.HttpCaller;
-import org.citrontide.gateway.store.HttpReply;
+import org.citrontide.gateway.store.PlatformClient;
+import org.citrontide.gateway.store.PlatformResponse;
 import org.citrontide.platform.DecodeException;
 import org.citrontide.platform.EngineCalls;
 import org.citrontide.runtime.log.EventLog;
@@ -20,14 +20,14 @@
     private static final Duration TIMEOUT = Duration.ofMillis(250);
     private static final int OK = 200;
 
-    private final HttpCaller caller;
+    private final PlatformClient caller;
 
     /**
      * Makes a reader.
      *
      * @param caller sends calls to the upstreams
      */
-    public ReportReader(HttpCaller caller) {
+    public ReportReader(PlatformClient caller) {
         this.caller = caller;
     }
 
@@ -46,7 +46,7 @@
                         Optional.ofNullable(reply).filter(r -> r.status() == OK).flatMap(r -> decode(u, r))));
     }
 
-    private static Optional<RankReport> decode(ListedUpstream u, HttpReply reply) {
+    private static Optional<RankReport> decode(ListedUpstream u, PlatformResponse reply) {
         try {
             return EngineCalls.report(reply.body());
         } catch (DecodeException e) {
