--- a/gateway/src/main/java/org/citrontide/gateway/daemon/ControlPlane.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/ControlPlane.java
@@ -11,7 +11,7 @@
 import org.citrontide.core.routes.ListedUpstream;
 import org.citrontide.core.routes.RoutingTable;
 import org.citrontide.gateway.dispatch.GatewayShell;
-import org.citrontide.gateway.maps.MapShell;
+import org.citrontide.gateway.maps.MapControllerShell;
 import org.citrontide.gateway.store.GatewayRegistration;
 import org.citrontide.gateway.store.LeaderElection;
 import org.citrontide.gateway.store.PlatformClient;
@@ -33,7 +33,7 @@
     private final StoreMirror mirror;
     private final LeaderElection leaderElection;
     private final GatewayRegistration registration;
-    private final MapShell maps;
+    private final MapControllerShell maps;
     private final RetrySlackShare slack;
     private boolean leads;
     private boolean stopping;
@@ -53,7 +53,7 @@
         this.mirror = new StoreMirror(client, settings.storeAddress(), settings.peers(), loop, random, this);
         this.leaderElection = new LeaderElection(client, settings.storeAddress(), loop, random, settings.vm(), this);
         this.registration = new GatewayRegistration(client, settings.storeAddress(), loop, random, settings.vm());
-        this.maps = new MapShell(client, loop, leaderElection::checkLease);
+        this.maps = new MapControllerShell(client, loop, leaderElection::checkLease);
     }
 
     void start() {
@@ -83,13 +83,13 @@
     @Override
     public void configurationChanged(RoutingTable table) {
         shell.configured(table);
-        maps.configured(table);
+        maps.configurationChanged(table);
     }
 
     @Override
     public void upstreamsUpdated(List<ListedUpstream> upstreams) {
         shell.listed(upstreams);
-        maps.listed(upstreams);
+        maps.upstreamsUpdated(upstreams);
     }
 
     @Override
--- a/gateway/src/main/java/org/citrontide/gateway/maps/MapShell.java
+++ b/gateway/src/main/java/org/citrontide/gateway/maps/MapControllerShell.java
@@ -30,24 +30,24 @@
 import org.citrontide.runtime.log.EventLog;
 
 /**
- * Runs the map controllers of this process: turns answers and timers into their events, and their actions into calls.
+ * Runs the map controllers of this process: converts responses and timers into events, and carries out the actions.
  *
- * <p>Invariant: a search for a map runs on a thread of its own, so that it holds up no request. Not thread-safe: owned
- * by the event loop.
+ * <p>Invariant: a search for a map runs on a separate thread, so that it delays no request. Not thread-safe: confined
+ * to the event loop.
  */
-public final class MapShell {
-    private static final EventLog LOG = EventLog.of(MapShell.class);
-    // Several round trips between zones; an order without an answer is repeated.
+public final class MapControllerShell {
+    private static final EventLog LOG = EventLog.of(MapControllerShell.class);
+    // Covers several round trips between zones; an order without a response is sent again.
     private static final Duration ORDER_TIMEOUT = Duration.ofMillis(70);
     private static final Duration READ_TIMEOUT = Duration.ofMillis(250);
-    // Changes of places in one set; the limit of new experts ends most searches before.
-    private static final int SEARCH_STEPS = 40;
+    // Maximum number of placement changes per set; most searches end earlier, at the limit on new experts.
+    private static final int MAX_SEARCH_STEPS = 40;
     private static final int OK = 200;
 
     private final PlatformClient client;
     private final ReportReader reports;
     private final EventLoop loop;
-    private final Executor planner = Executors.newSingleThreadExecutor(
+    private final Executor searchExecutor = Executors.newSingleThreadExecutor(
             r -> Thread.ofPlatform().daemon().name("map-planner").unstarted(r));
     private final Map<String, GroupMapController> controllers = new HashMap<>();
     private final Map<String, EngineProfile> profiles = new HashMap<>();
@@ -56,14 +56,14 @@
     private Optional<Long> term = Optional.empty();
 
     /**
-     * Makes a shell without controllers.
+     * Creates a shell without controllers.
      *
      * @param client client for the calls to the upstreams
-     * @param loop event loop
-     * @param leaseCheck calls {@link #deposed} if the lease is over; run before each event, since a process may have
-     *     been suspended just before it
+     * @param loop event loop that runs the controllers
+     * @param leaseCheck calls {@link #deposed} if the lease is no longer valid; run before each event, because the
+     *     process may have been suspended just before it
      */
-    public MapShell(PlatformClient client, EventLoop loop, Runnable leaseCheck) {
+    public MapControllerShell(PlatformClient client, EventLoop loop, Runnable leaseCheck) {
         this.client = client;
         this.reports = new ReportReader(client);
         this.loop = loop;
@@ -71,31 +71,32 @@
     }
 
     /**
-     * Makes a controller for each service whose engines form groups.
+     * Handles a new configuration: creates a controller for each service whose engines form groups, unless it already
+     * has one for the same engine profile.
      *
      * @param table the configuration in force
      */
-    public void configured(RoutingTable table) {
+    public void configurationChanged(RoutingTable table) {
         for (ServiceProfile s : table.services().values()) {
-            s.engine().filter(e -> e.expertSets() > 0).ifPresent(e -> control(s.name(), e));
+            s.engine().filter(e -> e.expertSets() > 0).ifPresent(e -> ensureController(s.name(), e));
         }
         controllers.keySet().forEach(s -> handle(s, new MapEvent.TargetGapChanged(table.targetGap(s))));
     }
 
     /**
-     * Takes the list of upstreams.
+     * Handles a new list of upstreams.
      *
-     * @param list all that are believed to be there
+     * @param list all upstreams considered available
      */
-    public void listed(List<ListedUpstream> list) {
+    public void upstreamsUpdated(List<ListedUpstream> list) {
         Map<String, ListedUpstream> byId = new HashMap<>();
         list.forEach(u -> byId.put(u.id(), u));
         upstreams = byId;
-        controllers.keySet().forEach(this::tellMembers);
+        controllers.keySet().forEach(this::updateMembers);
     }
 
     /**
-     * Begins a term.
+     * Starts a term: from now on, the controllers may change maps.
      *
      * @param number number of the term
      */
@@ -104,36 +105,36 @@
         controllers.keySet().forEach(s -> handle(s, new MapEvent.Elected(number)));
     }
 
-    /** Ends the term. */
+    /** Ends the term: the controllers start no further change. */
     public void deposed() {
         term = Optional.empty();
         controllers.keySet().forEach(s -> handle(s, new MapEvent.Deposed()));
     }
 
-    /** Lets time pass. */
+    /** Passes a tick of the periodic timer to all controllers. */
     public void tick() {
         controllers.keySet().forEach(s -> handle(s, new MapEvent.Tick()));
     }
 
     /**
-     * Says whether a change is under way that may hold a group.
+     * Returns whether a change in progress holds a group or may hold it.
      *
-     * @return true if the process should not end now
+     * @return true if the process should not exit yet
      */
     public boolean isHolding() {
         return controllers.values().stream().anyMatch(GroupMapController::isHolding);
     }
 
-    private void control(String service, EngineProfile profile) {
+    private void ensureController(String service, EngineProfile profile) {
         if (profile.equals(profiles.put(service, profile))) {
             return;
         }
         controllers.put(service, new GroupMapController(profile));
         term.ifPresent(t -> handle(service, new MapEvent.Elected(t)));
-        tellMembers(service);
+        updateMembers(service);
     }
 
-    private void tellMembers(String service) {
+    private void updateMembers(String service) {
         List<String> ids = new ArrayList<>();
         upstreams.values().stream()
                 .filter(u -> u.service().equals(service))
@@ -150,8 +151,8 @@
                 case MapAction.ReadReport r -> readReport(service, r.upstream());
                 case MapAction.ReadCounts r -> readCounts(service, r.upstream());
                 case MapAction.ReadExperts r -> readExperts(service, r.upstream());
-                case MapAction.SendOrder s -> send(service, s);
-                case MapAction.SearchMap p -> plan(service, p);
+                case MapAction.SendOrder s -> sendOrder(service, s);
+                case MapAction.SearchMap p -> searchMap(service, p);
                 case MapAction.LogEvent n ->
                     LOG.info(n.event())
                             .with("service", service)
@@ -171,13 +172,13 @@
     }
 
     private void readCounts(String service, String id) {
-        call(id, EngineCalls.readCounts(), READ_TIMEOUT, reply -> {
+        callUpstream(id, EngineCalls.readCounts(), READ_TIMEOUT, response -> {
             Optional<MapEvent.ExpertCounts> counts = Optional.empty();
-            if (reply.isPresent() && reply.get().status() == OK) {
+            if (response.isPresent() && response.get().status() == OK) {
                 try {
-                    counts = Optional.of(EngineCalls.counts(reply.get().body()));
+                    counts = Optional.of(EngineCalls.counts(response.get().body()));
                 } catch (DecodeException e) {
-                    unreadable(id, e);
+                    logUnreadable(id, e);
                 }
             }
             handle(service, new MapEvent.CountsRead(id, counts));
@@ -185,47 +186,50 @@
     }
 
     private void readExperts(String service, String id) {
-        call(id, EngineCalls.readExperts(), READ_TIMEOUT, reply -> {
-            MapEvent.ExpertsRead listed = new MapEvent.ExpertsRead(id, 0, Optional.empty());
-            if (reply.isPresent() && reply.get().status() == OK) {
+        callUpstream(id, EngineCalls.readExperts(), READ_TIMEOUT, response -> {
+            MapEvent.ExpertsRead experts = new MapEvent.ExpertsRead(id, 0, Optional.empty());
+            if (response.isPresent() && response.get().status() == OK) {
                 try {
-                    listed = EngineCalls.experts(id, reply.get().body());
+                    experts = EngineCalls.experts(id, response.get().body());
                 } catch (DecodeException e) {
-                    unreadable(id, e);
+                    logUnreadable(id, e);
                 }
             }
-            handle(service, listed);
+            handle(service, experts);
         });
     }
 
-    private void send(String service, MapAction.SendOrder s) {
-        call(s.upstream(), EngineCalls.order(s.order(), s.epoch()), ORDER_TIMEOUT, reply -> {
-            OrderOutcome r = reply.map(x -> EngineCalls.reply(x.status())).orElse(OrderOutcome.UNANSWERED);
-            handle(service, new MapEvent.OrderEnded(s.upstream(), s.order(), r));
+    private void sendOrder(String service, MapAction.SendOrder s) {
+        callUpstream(s.upstream(), EngineCalls.order(s.order(), s.epoch()), ORDER_TIMEOUT, response -> {
+            OrderOutcome outcome =
+                    response.map(x -> EngineCalls.reply(x.status())).orElse(OrderOutcome.UNANSWERED);
+            handle(service, new MapEvent.OrderEnded(s.upstream(), s.order(), outcome));
         });
     }
 
-    private void plan(String service, MapAction.SearchMap p) {
-        CompletableFuture.supplyAsync(() -> p.search(SEARCH_STEPS), planner).whenComplete((map, failure) -> {
-            if (failure != null) {
-                LOG.error("map-search-failed", failure).write();
-                return;
-            }
-            loop.execute(() -> handle(service, new MapEvent.SearchEnded(map)));
-        });
+    private void searchMap(String service, MapAction.SearchMap p) {
+        CompletableFuture.supplyAsync(() -> p.search(MAX_SEARCH_STEPS), searchExecutor)
+                .whenComplete((map, failure) -> {
+                    if (failure != null) {
+                        LOG.error("map-search-failed", failure).write();
+                        return;
+                    }
+                    loop.execute(() -> handle(service, new MapEvent.SearchEnded(map)));
+                });
     }
 
-    private void call(String id, PlatformCall call, Duration timeout, Consumer<Optional<PlatformResponse>> then) {
+    private void callUpstream(
+            String id, PlatformCall call, Duration timeout, Consumer<Optional<PlatformResponse>> handler) {
         ListedUpstream u = upstreams.get(id);
         if (u == null) {
-            loop.execute(() -> then.accept(Optional.empty()));
+            loop.execute(() -> handler.accept(Optional.empty()));
             return;
         }
         client.call(new InetSocketAddress(u.host(), u.port()), call.onlyFor(id), timeout)
-                .whenComplete((reply, failure) -> then.accept(Optional.ofNullable(reply)));
+                .whenComplete((response, failure) -> handler.accept(Optional.ofNullable(response)));
     }
 
-    private static void unreadable(String id, DecodeException e) {
+    private static void logUnreadable(String id, DecodeException e) {
         LOG.warn("engine-answer-unreadable")
                 .with("upstream", id)
                 .with("why", e.getMessage())
