--- a/gateway/src/main/java/org/citrontide/gateway/daemon/ControlPlane.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/ControlPlane.java
@@ -18,13 +18,13 @@
 import org.citrontide.gateway.store.StoreMirror;
 
 /**
- * What one gateway does beside serving requests: follows the store, stands for leader, and changes expert maps while it
- * leads.
+ * Control plane of one gateway: mirrors the store, takes part in the leader election, and changes expert maps while
+ * this process is the leader.
  *
- * <p>Not thread-safe: owned by the event loop, but for {@link #isLoaded} and {@link #isHolding}.
+ * <p>Not thread-safe: confined to the event loop, except for {@link #isHolding}.
  */
 final class ControlPlane implements StoreMirror.Listener, LeaderElection.Listener {
-    // A change of map waits for a tick at each of its steps, each of which delays better passes.
+    // Each step of a map change waits for a tick, which delays the faster passes under the new map.
     private static final Duration LEADER_TICK = Duration.ofMillis(20);
     private static final Duration FOLLOWER_TICK = Duration.ofMillis(250);
 
@@ -34,19 +34,19 @@
     private final LeaderElection leaderElection;
     private final GatewayRegistration registration;
     private final MapControllerShell maps;
-    private final RetrySlackShare slack;
-    private boolean leads;
-    private boolean stopping;
-    private boolean resigned;
-    private volatile boolean holding;
+    private final RetrySlackShare slackShare;
+    private boolean isLeader;
+    private boolean isStopping;
+    private boolean hasResigned;
+    private volatile boolean isHolding;
 
     ControlPlane(
             GatewaySettings settings,
             EventLoop loop,
             RandomGenerator random,
             GatewayShell shell,
-            RetrySlackShare slack) {
-        this.slack = slack;
+            RetrySlackShare slackShare) {
+        this.slackShare = slackShare;
         this.loop = loop;
         this.shell = shell;
         PlatformClient client = new PlatformClient(loop);
@@ -62,9 +62,9 @@
         tick();
     }
 
-    /** Gives up the lead as soon as no change of map holds a group. */
+    /** Resigns as the leader as soon as no map change holds a group. */
     void stop() {
-        stopping = true;
+        isStopping = true;
         resignIfPossible();
     }
 
@@ -77,7 +77,7 @@
     }
 
     boolean isHolding() {
-        return holding;
+        return isHolding;
     }
 
     @Override
@@ -99,33 +99,33 @@
 
     @Override
     public void gatewayCountUpdated(int count) {
-        slack.setGatewayCount(count);
+        slackShare.setGatewayCount(count);
     }
 
     @Override
     public void elected(long term) {
-        leads = true;
+        isLeader = true;
         maps.elected(term);
     }
 
     @Override
     public void deposed() {
-        leads = false;
+        isLeader = false;
         maps.deposed();
     }
 
     private void tick() {
         leaderElection.checkLease();
         maps.tick();
-        holding = maps.isHolding();
+        isHolding = maps.isHolding();
         resignIfPossible();
-        Duration pause = leads || holding ? LEADER_TICK : FOLLOWER_TICK;
+        Duration pause = isLeader || isHolding ? LEADER_TICK : FOLLOWER_TICK;
         loop.schedule(this::tick, pause.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     private void resignIfPossible() {
-        if (stopping && !resigned && !maps.isHolding()) {
-            resigned = true;
+        if (isStopping && !hasResigned && !maps.isHolding()) {
+            hasResigned = true;
             leaderElection.resign();
         }
     }
--- a/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayParts.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayComponent.java
@@ -9,11 +9,11 @@
 import org.citrontide.gateway.caller.CallerServer;
 import org.citrontide.gateway.dispatch.GatewayShell;
 
-/** The parts of a gateway, wired by Dagger. */
+/** Dagger component that holds the objects of a gateway. */
 @Singleton
 @Component(modules = GatewayModule.class)
-interface GatewayParts {
-    EventLoopGroup loop();
+interface GatewayComponent {
+    EventLoopGroup eventLoops();
 
     @Named("admin")
     SmallHttpServer adminServer();
--- a/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayDaemon.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayDaemon.java
@@ -9,85 +9,89 @@
 import org.citrontide.runtime.log.EventLog;
 
 /**
- * A gateway as a process: takes callers' requests and sends them to upstreams over HTTP.
+ * A gateway process: accepts callers' requests and forwards them to upstreams over HTTP.
  *
- * <p>Invariant: a planned stop first turns readiness off, goes on serving until the balancer has seen it, then refuses
- * what still comes, and ends once every open request has its answer or the limit has passed. Safe for use by many
- * threads.
+ * <p>Invariant: a graceful shutdown first reports not ready and keeps serving until the load balancer has noticed, then
+ * refuses new requests, and ends once every request in flight has its response or the time limit has passed.
+ * Thread-safe.
  */
 public final class GatewayDaemon {
     private static final EventLog LOG = EventLog.of(GatewayDaemon.class);
-    private static final long POLL_MILLIS = 20;
-    // The balancer asks once a second and needs two misses.
-    private static final Duration BALANCER_NOTICE = Duration.ofMillis(3200);
+    private static final long POLL_INTERVAL_MILLIS = 20;
+    // The load balancer checks readiness once a second and stops sending requests after two failed checks.
+    private static final Duration DRAIN_NOTICE = Duration.ofMillis(3200);
 
     private final GatewaySettings settings;
-    private final GatewayParts parts;
-    private final AtomicBoolean stopping = new AtomicBoolean();
+    private final GatewayComponent component;
+    private final AtomicBoolean isStopping = new AtomicBoolean();
     private final CountDownLatch stopped = new CountDownLatch(1);
 
     /**
-     * Builds the parts.
+     * Creates a gateway that has not started.
      *
-     * @param settings the gateway's settings
-     * @param seed seed of all random choices
+     * @param settings settings of the gateway
+     * @param seed seed of all random number generators
      */
     public GatewayDaemon(GatewaySettings settings, long seed) {
         this.settings = settings;
-        this.parts = DaggerGatewayParts.builder()
+        this.component = DaggerGatewayComponent.builder()
                 .gatewayModule(new GatewayModule(settings, seed, this::isReady))
                 .build();
     }
 
     /**
-     * Starts the gateway.
+     * Starts the servers and the control plane.
      *
-     * @throws IOException if an address can't be used
+     * @throws IOException if a server can't listen on its address
      */
     public void start() throws IOException {
-        parts.adminServer().listen(settings.adminAddress());
+        component.adminServer().listen(settings.adminAddress());
         if (settings.peerAddress().isPresent()) {
-            parts.peerServer().listen(settings.peerAddress().get());
+            component.peerServer().listen(settings.peerAddress().get());
         }
-        parts.callerServer().listen(settings.callerAddress());
-        parts.loop().next().execute(() -> parts.controlPlane().start());
+        component.callerServer().listen(settings.callerAddress());
+        component.eventLoops().next().execute(() -> component.controlPlane().start());
         LOG.info("started")
                 .with("caller-address", settings.callerAddress())
                 .with("store-address", settings.storeAddress())
                 .write();
     }
 
-    /** Stops gracefully; returns when the process may exit. A second call waits for the first. */
+    /**
+     * Shuts down gracefully and returns when the process may exit. A second call waits for the first one, up to the
+     * time limit.
+     */
     public void stop() {
-        if (!stopping.compareAndSet(false, true)) {
+        if (!isStopping.compareAndSet(false, true)) {
             awaitStopped();
             return;
         }
-        long end = System.nanoTime() + settings.stopLimit().toNanos();
-        long notice = System.nanoTime() + BALANCER_NOTICE.toNanos();
-        parts.loop().next().execute(() -> parts.shell().stop());
-        LOG.info("stopping").with("open", parts.shell().openRequests()).write();
-        while (System.nanoTime() < notice) {
+        long stopDeadlineNanos = System.nanoTime() + settings.stopLimit().toNanos();
+        long noticeEndNanos = System.nanoTime() + DRAIN_NOTICE.toNanos();
+        component.eventLoops().next().execute(() -> component.shell().stop());
+        LOG.info("stopping").with("open", component.shell().openRequests()).write();
+        while (System.nanoTime() < noticeEndNanos) {
             pause();
         }
-        parts.loop().next().execute(() -> {
-            parts.shell().refuseNew();
-            parts.controlPlane().stop();
+        component.eventLoops().next().execute(() -> {
+            component.shell().refuseNew();
+            component.controlPlane().stop();
         });
-        while (System.nanoTime() < end
-                && (parts.shell().openRequests() > 0 || parts.controlPlane().isHolding())) {
+        while (System.nanoTime() < stopDeadlineNanos
+                && (component.shell().openRequests() > 0
+                        || component.controlPlane().isHolding())) {
             pause();
         }
-        parts.loop().next().execute(() -> parts.callerServer().closeIdle());
+        component.eventLoops().next().execute(() -> component.callerServer().closeIdle());
         pause();
-        LOG.info("stopped").with("cut-off", parts.shell().openRequests()).write();
+        LOG.info("stopped").with("cut-off", component.shell().openRequests()).write();
         stopped.countDown();
     }
 
     private boolean isReady() {
-        return !stopping.get()
-                && parts.shell().table().version() > 0
-                && parts.controlPlane().isLoaded();
+        return !isStopping.get()
+                && component.shell().table().version() > 0
+                && component.controlPlane().isLoaded();
     }
 
     private void awaitStopped() {
@@ -100,7 +104,7 @@
 
     private static void pause() {
         try {
-            Thread.sleep(POLL_MILLIS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayMain.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayMain.java
@@ -12,43 +12,43 @@
 import org.citrontide.runtime.signal.ReloadSignal;
 
 /**
- * Starts a gateway from its settings file. A class of its own, so that a gateway loads none of the other commands.
+ * Starts a gateway from its settings file. This is a separate class so that a gateway doesn't load the other commands.
  */
 public final class GatewayMain {
     private static final EventLog LOG = EventLog.of(GatewayMain.class);
     private static final String ROLE = "gateway";
-    private static final int USAGE = 2;
-    private static final int UNREACHABLE = 3;
+    private static final int EXIT_USAGE = 2;
+    private static final int EXIT_START_FAILED = 3;
 
     private GatewayMain() {}
 
     /**
-     * Starts a gateway, or ends the process with a message.
+     * Starts a gateway, or exits with a message.
      *
      * @param args path of the settings file
      */
     public static void main(String[] args) {
         if (args.length != 1) {
             System.err.println("usage: gateway SETTINGS");
-            System.exit(USAGE);
+            System.exit(EXIT_USAGE);
         }
         try {
             if (!start(args[0])) {
-                System.exit(USAGE);
+                System.exit(EXIT_USAGE);
             }
         } catch (IOException e) {
             LOG.error("start-failed", e).write();
             LogSetup.flush();
-            System.exit(UNREACHABLE);
+            System.exit(EXIT_START_FAILED);
         }
     }
 
     /**
-     * Starts a gateway that goes on until the process is told to stop.
+     * Starts a gateway that runs until the process is told to stop.
      *
      * @param file path of the settings file
-     * @return false if the settings have mistakes, which were printed
-     * @throws IOException if the file can't be read or an address can't be used
+     * @return false if the settings are invalid; the violations have been printed to standard error
+     * @throws IOException if the file can't be read or a server can't listen on its address
      */
     public static boolean start(String file) throws IOException {
         Checked<GatewaySettings> checked = GatewaySettings.parse(file, Files.readString(Path.of(file)));
@@ -71,7 +71,7 @@
         return true;
     }
 
-    /** Checks changed settings; they take effect at the next start. */
+    /** Validates the settings file again and logs the result; changes take effect at the next start. */
     private static void reload(String file, GatewaySettings inForce) {
         try {
             Checked<GatewaySettings> checked = GatewaySettings.parse(file, Files.readString(Path.of(file)));
--- a/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayModule.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayModule.java
@@ -23,7 +23,7 @@
 import org.citrontide.gateway.dispatch.GatewayMetrics;
 import org.citrontide.gateway.dispatch.GatewayShell;
 
-/** Builds the parts of a gateway. Used once, at the start of the process. */
+/** Provides the objects of {@link GatewayComponent}. Used once, when the process starts. */
 @Module
 final class GatewayModule {
     private final GatewaySettings settings;
@@ -49,49 +49,52 @@
 
     @Provides
     @Singleton
-    EventLoopGroup loop() {
+    EventLoopGroup eventLoops() {
         return new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     }
 
     @Provides
     @Singleton
     @Named("admin")
-    SmallHttpServer adminServer(EventLoopGroup loop, PrometheusRegistry registry) {
-        return new SmallHttpServer(loop, new AdminPages(registry, ready));
+    SmallHttpServer adminServer(EventLoopGroup eventLoops, PrometheusRegistry registry) {
+        return new SmallHttpServer(eventLoops, new AdminPages(registry, ready));
     }
 
     @Provides
     @Singleton
     @Named("peers")
-    SmallHttpServer peerServer(EventLoopGroup loop, ControlPlane control) {
-        return new SmallHttpServer(loop, new PeerPages(control::storePage));
+    SmallHttpServer peerServer(EventLoopGroup eventLoops, ControlPlane controlPlane) {
+        return new SmallHttpServer(eventLoops, new PeerPages(controlPlane::storePage));
     }
 
     @Provides
     @Singleton
     RetrySlackShare slackShare() {
-        return new RetrySlackShare(settings.repeatSlack());
+        return new RetrySlackShare(settings.retrySlack());
     }
 
     @Provides
     @Singleton
-    GatewayShell shell(EventLoopGroup loop, PrometheusRegistry registry, RandomGenerator r, RetrySlackShare slack) {
+    GatewayShell shell(
+            EventLoopGroup eventLoops, PrometheusRegistry registry, RandomGenerator r, RetrySlackShare slackShare) {
         GatewayDispatcher dispatcher = new GatewayDispatcher(
                 settings.zone(),
-                () -> new GatewayRetryBudget(settings.repeatRatio(), settings.repeatWindow(), slack),
+                () -> new GatewayRetryBudget(settings.retryRatio(), settings.retryWindow(), slackShare),
                 random.split());
-        return new GatewayShell(dispatcher, loop.next(), r, new GatewayMetrics(registry, settings.maxTeamLabels()));
+        return new GatewayShell(
+                dispatcher, eventLoops.next(), r, new GatewayMetrics(registry, settings.maxTeamLabels()));
     }
 
     @Provides
     @Singleton
-    CallerServer callerServer(EventLoopGroup loop, GatewayShell shell) {
-        return new CallerServer(loop, shell, () -> shell.table().limits(), settings.maxConnections());
+    CallerServer callerServer(EventLoopGroup eventLoops, GatewayShell shell) {
+        return new CallerServer(eventLoops, shell, () -> shell.table().limits(), settings.maxConnections());
     }
 
     @Provides
     @Singleton
-    ControlPlane controlPlane(EventLoopGroup loop, RandomGenerator r, GatewayShell shell, RetrySlackShare slack) {
-        return new ControlPlane(settings, loop.next(), r, shell, slack);
+    ControlPlane controlPlane(
+            EventLoopGroup eventLoops, RandomGenerator r, GatewayShell shell, RetrySlackShare slackShare) {
+        return new ControlPlane(settings, eventLoops.next(), r, shell, slackShare);
     }
 }
--- a/gateway/src/main/java/org/citrontide/gateway/daemon/GatewaySettings.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/GatewaySettings.java
@@ -14,17 +14,17 @@
  *
  * @param vm name of the VM
  * @param zone availability zone of the VM
- * @param callerAddress where callers' requests are accepted
- * @param adminAddress where readiness and metrics are served
- * @param storeAddress where the platform's store is
- * @param peerAddress where peers may read this gateway's copy of the store, if anywhere
- * @param peers addresses of peers that are asked while the store turns this gateway away
- * @param maxConnections most connections of callers
- * @param stopLimit longest time that a stop waits for running requests
- * @param repeatRatio repeats allowed for each request of a service
- * @param repeatWindow span over which repeats are counted
- * @param repeatSlack repeats of a window allowed to all gateways together whatever the requests
- * @param maxTeamLabels teams that have metric labels of their own
+ * @param callerAddress address on which callers' requests are accepted
+ * @param adminAddress address on which health checks and metrics are served
+ * @param storeAddress address of the platform's store
+ * @param peerAddress address on which peers can read this gateway's copy of the store, empty if they can't
+ * @param peers addresses of the peers whose copies are read while the store is unavailable to this gateway
+ * @param maxConnections maximum number of connections of callers
+ * @param stopLimit maximum time that a graceful shutdown waits for requests in flight
+ * @param retryRatio retries allowed per request of a service
+ * @param retryWindow length of the sliding window over which requests and retries are counted
+ * @param retrySlack retries per window allowed to all gateways together, regardless of the number of requests
+ * @param maxTeamLabels maximum number of teams that have their own metric labels
  */
 public record GatewaySettings(
         String vm,
@@ -36,9 +36,9 @@
         List<InetSocketAddress> peers,
         int maxConnections,
         Duration stopLimit,
-        double repeatRatio,
-        Duration repeatWindow,
-        int repeatSlack,
+        double retryRatio,
+        Duration retryWindow,
+        int retrySlack,
         int maxTeamLabels) {
     private static final int MAX_CONNECTIONS = 100_000;
     private static final int DEFAULT_CONNECTIONS = 2000;
@@ -52,17 +52,17 @@
     private static final int MAX_LABELS = 1000;
     private static final int DEFAULT_LABELS = 300;
 
-    /** Copies the list. */
+    /** Copies the list, so that the record is immutable. */
     public GatewaySettings {
         peers = List.copyOf(peers);
     }
 
     /**
-     * Reads a settings file.
+     * Parses a settings file.
      *
-     * @param file name used in messages
+     * @param file name of the file, used in error messages
      * @param text content of the file
-     * @return the settings or every mistake
+     * @return the settings, or all violations
      */
     public static Checked<GatewaySettings> parse(String file, String text) {
         TomlSection root = TomlSection.parse(file, text);
