--- a/gateway/src/main/java/org/citrontide/gateway/admin/AdminPages.java
+++ b/gateway/src/main/java/org/citrontide/gateway/admin/AdminPages.java
@@ -9,16 +9,16 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 import org.citrontide.platform.PlatformPaths;
 
-/** Readiness, {@code /livez} and {@code /metrics}. Safe for use by many threads. */
-public final class AdminPages implements SmallHttpServer.Pages {
+/** Serves the readiness pages, {@code /livez} and {@code /metrics}. Thread-safe if the readiness check is. */
+public final class AdminPages implements PageServer.PageProvider {
     private final PrometheusRegistry registry;
     private final BooleanSupplier ready;
 
     /**
-     * Makes the pages.
+     * Creates the pages.
      *
-     * @param registry the metrics to show
-     * @param ready whether this process takes new connections
+     * @param registry the metrics that {@code /metrics} returns
+     * @param ready whether this process accepts requests; decides the status of the readiness pages
      */
     public AdminPages(PrometheusRegistry registry, BooleanSupplier ready) {
         this.registry = registry;
@@ -36,7 +36,7 @@
                 PrometheusTextFormatWriter.create().write(out, registry.scrape());
                 yield Page.text(out.toString(StandardCharsets.UTF_8));
             }
-            default -> Page.unknown();
+            default -> Page.notFound();
         };
     }
 }
--- a/gateway/src/main/java/org/citrontide/gateway/admin/Page.java
+++ b/gateway/src/main/java/org/citrontide/gateway/admin/Page.java
@@ -3,11 +3,11 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A whole HTTP answer. Immutable; the body must not be changed.
+ * Status and content of a page. Immutable; the body must not be modified.
  *
  * @param status HTTP status
  * @param contentType media type
- * @param body the bytes
+ * @param body content of the page
  */
 public record Page(int status, String contentType, byte[] body) {
     private static final int OK = 200;
@@ -16,7 +16,7 @@
     private static final String TEXT = "text/plain; charset=utf-8";
 
     /**
-     * Makes a page of plain text.
+     * Creates a page of plain text.
      *
      * @param text the text
      * @return the page with status 200
@@ -26,9 +26,9 @@
     }
 
     /**
-     * Makes a page of JSON.
+     * Creates a page of JSON.
      *
-     * @param body the document
+     * @param body the JSON document
      * @return the page with status 200
      */
     public static Page json(byte[] body) {
@@ -36,18 +36,18 @@
     }
 
     /**
-     * Makes the page for a path that is not served.
+     * Creates the page for an unknown path.
      *
      * @return the page with status 404
      */
-    public static Page unknown() {
+    public static Page notFound() {
         return new Page(NOT_FOUND, TEXT, "unknown page\n".getBytes(StandardCharsets.UTF_8));
     }
 
     /**
-     * Makes a page for what is not to be had now.
+     * Creates a page for content that is currently unavailable.
      *
-     * @param text why
+     * @param text the reason, as plain text
      * @return the page with status 503
      */
     public static Page unavailable(String text) {
--- a/gateway/src/main/java/org/citrontide/gateway/admin/SmallHttpServer.java
+++ b/gateway/src/main/java/org/citrontide/gateway/admin/PageServer.java
@@ -24,46 +24,46 @@
 import io.netty.handler.timeout.IdleStateHandler;
 
 /**
- * Serves small pages on an address of its own, on the gateway's event loop.
+ * Minimal HTTP server for pages on a separate address, run by the gateway's event loop.
  *
- * <p>Not thread-safe: owned by the event loop once it listens.
+ * <p>Not thread-safe: confined to the event loop once it listens.
  */
-public final class SmallHttpServer {
+public final class PageServer {
     private static final int MAX_REQUEST_BYTES = 4096;
     private static final int IDLE_SECONDS = 60;
 
     private final EventLoopGroup loop;
-    private final Pages pages;
+    private final PageProvider provider;
 
-    /** What a server serves. Called on the event loop. */
-    public interface Pages {
+    /** Provides the pages of a server. Called on the event loop. */
+    public interface PageProvider {
 
         /**
-         * Finds a page.
+         * Returns the page at a path.
          *
-         * @param path path of the request, without its query
-         * @return the page, also if there is none
-         * @throws IOException if the page can't be written
+         * @param path path of the request, without the query
+         * @return the page, with status 404 if the path is unknown
+         * @throws IOException if the content of the page can't be created
          */
         Page page(String path) throws IOException;
     }
 
     /**
-     * Makes a server.
+     * Creates a server that does not listen yet.
      *
      * @param loop event loop of all connections
-     * @param pages what it serves
+     * @param provider provides the pages
      */
-    public SmallHttpServer(EventLoopGroup loop, Pages pages) {
+    public PageServer(EventLoopGroup loop, PageProvider provider) {
         this.loop = loop;
-        this.pages = pages;
+        this.provider = provider;
     }
 
     /**
-     * Begins to accept connections.
+     * Starts to accept connections.
      *
-     * @param address IP number and port
-     * @throws IOException if the address can't be used
+     * @param address IP address and port to listen on
+     * @throws IOException if the server can't listen on the address
      */
     public void listen(InetSocketAddress address) throws IOException {
         ChannelFuture bound = new ServerBootstrap()
@@ -78,32 +78,32 @@
                                         new HttpServerCodec(),
                                         new HttpObjectAggregator(MAX_REQUEST_BYTES),
                                         new IdleStateHandler(IDLE_SECONDS, 0, 0),
-                                        new Answers());
+                                        new RequestHandler());
                     }
                 })
                 .bind(address)
                 .awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new IOException("can't serve pages on " + address, bound.cause());
+            throw new IOException("HTTP server can't listen on " + address, bound.cause());
         }
     }
 
-    /** Answers the requests of one connection. */
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** Handles the requests of one connection. */
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest r) throws IOException {
             int query = r.uri().indexOf('?');
-            Page page = pages.page(query < 0 ? r.uri() : r.uri().substring(0, query));
-            DefaultFullHttpResponse answer = new DefaultFullHttpResponse(
+            Page page = provider.page(query < 0 ? r.uri() : r.uri().substring(0, query));
+            DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(page.status()),
                     Unpooled.wrappedBuffer(page.body()));
-            answer.headers().set(HttpHeaderNames.CONTENT_TYPE, page.contentType());
-            HttpUtil.setContentLength(answer, page.body().length);
-            boolean stays = HttpUtil.isKeepAlive(r);
-            HttpUtil.setKeepAlive(answer, stays);
-            ChannelFuture written = ctx.writeAndFlush(answer);
-            if (!stays) {
+            response.headers().set(HttpHeaderNames.CONTENT_TYPE, page.contentType());
+            HttpUtil.setContentLength(response, page.body().length);
+            boolean isKeepAlive = HttpUtil.isKeepAlive(r);
+            HttpUtil.setKeepAlive(response, isKeepAlive);
+            ChannelFuture written = ctx.writeAndFlush(response);
+            if (!isKeepAlive) {
                 written.addListener(f -> ctx.close());
             }
         }
--- a/gateway/src/main/java/org/citrontide/gateway/admin/PeerPages.java
+++ b/gateway/src/main/java/org/citrontide/gateway/admin/PeerPages.java
@@ -6,17 +6,18 @@
 import org.citrontide.platform.MetadataStore;
 
 /**
- * This gateway's copy of the store for peers that the store turns away, under the path of the store's own call.
+ * Serves this gateway's copy of the store, under the path of the store's own call, to peers to which the store is
+ * unavailable.
  *
- * <p>Not thread-safe: called on the event loop, which owns the copy.
+ * <p>Not thread-safe: called on the event loop, to which the copy is confined.
  */
-public final class PeerPages implements SmallHttpServer.Pages {
+public final class PeerPages implements PageServer.PageProvider {
     private final Supplier<Optional<byte[]>> copy;
 
     /**
-     * Makes the pages.
+     * Creates the pages.
      *
-     * @param copy the items as one page, or empty if the copy is not fresh
+     * @param copy supplies the items as one page of the store, or empty if the copy is not recent enough
      */
     public PeerPages(Supplier<Optional<byte[]>> copy) {
         this.copy = copy;
@@ -25,7 +26,7 @@
     @Override
     public Page page(String path) {
         if (!path.equals(MetadataStore.RANGE_PATH)) {
-            return Page.unknown();
+            return Page.notFound();
         }
         return copy.get().map(Page::json).orElseGet(() -> Page.unavailable("the copy is not fresh\n"));
     }
--- a/gateway/src/main/java/org/citrontide/gateway/daemon/ControlPlane.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/ControlPlane.java
@@ -33,7 +33,7 @@
     private final StoreMirror mirror;
     private final LeaderElection leaderElection;
     private final GatewayRegistration registration;
-    private final MapControllerShell maps;
+    private final MapControllerShell mapControllers;
     private final RetrySlackShare slackShare;
     private boolean isLeader;
     private boolean isStopping;
@@ -53,7 +53,7 @@
         this.mirror = new StoreMirror(client, settings.storeAddress(), settings.peers(), loop, random, this);
         this.leaderElection = new LeaderElection(client, settings.storeAddress(), loop, random, settings.vm(), this);
         this.registration = new GatewayRegistration(client, settings.storeAddress(), loop, random, settings.vm());
-        this.maps = new MapControllerShell(client, loop, leaderElection::checkLease);
+        this.mapControllers = new MapControllerShell(client, loop, leaderElection::checkLease);
     }
 
     void start() {
@@ -83,13 +83,13 @@
     @Override
     public void configurationChanged(RoutingTable table) {
         shell.configured(table);
-        maps.configurationChanged(table);
+        mapControllers.configurationChanged(table);
     }
 
     @Override
     public void upstreamsUpdated(List<ListedUpstream> upstreams) {
         shell.listed(upstreams);
-        maps.upstreamsUpdated(upstreams);
+        mapControllers.upstreamsUpdated(upstreams);
     }
 
     @Override
@@ -105,26 +105,26 @@
     @Override
     public void elected(long term) {
         isLeader = true;
-        maps.elected(term);
+        mapControllers.elected(term);
     }
 
     @Override
     public void deposed() {
         isLeader = false;
-        maps.deposed();
+        mapControllers.deposed();
     }
 
     private void tick() {
         leaderElection.checkLease();
-        maps.tick();
-        isHolding = maps.isHolding();
+        mapControllers.tick();
+        isHolding = mapControllers.isHolding();
         resignIfPossible();
         Duration pause = isLeader || isHolding ? LEADER_TICK : FOLLOWER_TICK;
         loop.schedule(this::tick, pause.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     private void resignIfPossible() {
-        if (isStopping && !hasResigned && !maps.isHolding()) {
+        if (isStopping && !hasResigned && !mapControllers.isHolding()) {
             hasResigned = true;
             leaderElection.resign();
         }
--- a/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayComponent.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayComponent.java
@@ -5,7 +5,7 @@
 
 import dagger.Component;
 import io.netty.channel.EventLoopGroup;
-import org.citrontide.gateway.admin.SmallHttpServer;
+import org.citrontide.gateway.admin.PageServer;
 import org.citrontide.gateway.caller.CallerServer;
 import org.citrontide.gateway.dispatch.GatewayShell;
 
@@ -16,10 +16,10 @@
     EventLoopGroup eventLoops();
 
     @Named("admin")
-    SmallHttpServer adminServer();
+    PageServer adminServer();
 
     @Named("peers")
-    SmallHttpServer peerServer();
+    PageServer peerServer();
 
     CallerServer callerServer();
 
--- a/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayModule.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayModule.java
@@ -17,8 +17,8 @@
 import org.citrontide.core.gateway.GatewayRetryBudget;
 import org.citrontide.core.gateway.RetrySlackShare;
 import org.citrontide.gateway.admin.AdminPages;
+import org.citrontide.gateway.admin.PageServer;
 import org.citrontide.gateway.admin.PeerPages;
-import org.citrontide.gateway.admin.SmallHttpServer;
 import org.citrontide.gateway.caller.CallerServer;
 import org.citrontide.gateway.dispatch.GatewayMetrics;
 import org.citrontide.gateway.dispatch.GatewayShell;
@@ -56,15 +56,15 @@
     @Provides
     @Singleton
     @Named("admin")
-    SmallHttpServer adminServer(EventLoopGroup eventLoops, PrometheusRegistry registry) {
-        return new SmallHttpServer(eventLoops, new AdminPages(registry, ready));
+    PageServer adminServer(EventLoopGroup eventLoops, PrometheusRegistry registry) {
+        return new PageServer(eventLoops, new AdminPages(registry, ready));
     }
 
     @Provides
     @Singleton
     @Named("peers")
-    SmallHttpServer peerServer(EventLoopGroup eventLoops, ControlPlane controlPlane) {
-        return new SmallHttpServer(eventLoops, new PeerPages(controlPlane::storePage));
+    PageServer peerServer(EventLoopGroup eventLoops, ControlPlane controlPlane) {
+        return new PageServer(eventLoops, new PeerPages(controlPlane::storePage));
     }
 
     @Provides
