--- a/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayParts.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/GatewayComponent.java
@@ -5,21 +5,21 @@
 
 import dagger.Component;
 import io.netty.channel.EventLoopGroup;
-import org.citrontide.gateway.admin.SmallHttpServer;
+import org.citrontide.gateway.admin.PageServer;
 import org.citrontide.gateway.caller.CallerServer;
 import org.citrontide.gateway.dispatch.GatewayShell;
 
-/** The parts of a gateway, wired by Dagger. */
+/** Dagger component that holds the objects of a gateway. */
 @Singleton
 @Component(modules = GatewayModule.class)
-interface GatewayParts {
-    EventLoopGroup loop();
+interface GatewayComponent {
+    EventLoopGroup eventLoops();
 
     @Named("admin")
-    SmallHttpServer adminServer();
+    PageServer adminServer();
 
     @Named("peers")
-    SmallHttpServer peerServer();
+    PageServer peerServer();
 
     CallerServer callerServer();
 
--- a/gateway/src/main/java/org/citrontide/gateway/upstream/ReportReader.java
+++ b/gateway/src/main/java/org/citrontide/gateway/upstream/ReportReader.java
@@ -7,8 +7,8 @@
 
 import org.citrontide.core.expertmap.RankReport;
 import org.citrontide.core.routes.ListedUpstream;
-import org.citrontide.gateway.store.HttpCaller;
-import org.citrontide.gateway.store.HttpReply;
+import org.citrontide.gateway.store.PlatformClient;
+import org.citrontide.gateway.store.PlatformResponse;
 import org.citrontide.platform.DecodeException;
 import org.citrontide.platform.EngineCalls;
 import org.citrontide.runtime.log.EventLog;
@@ -20,14 +20,14 @@
     private static final Duration TIMEOUT = Duration.ofMillis(250);
     private static final int OK = 200;
 
-    private final HttpCaller caller;
+    private final PlatformClient caller;
 
     /**
      * Creates a reader.
      *
      * @param caller sends calls to the upstreams
      */
-    public ReportReader(HttpCaller caller) {
+    public ReportReader(PlatformClient caller) {
         this.caller = caller;
     }
 
@@ -47,7 +47,7 @@
                         Optional.ofNullable(reply).filter(r -> r.status() == OK).flatMap(r -> decode(upstream, r))));
     }
 
-    private static Optional<RankReport> decode(ListedUpstream upstream, HttpReply reply) {
+    private static Optional<RankReport> decode(ListedUpstream upstream, PlatformResponse reply) {
         try {
             return EngineCalls.decodeReport(reply.body());
         } catch (DecodeException e) {
