--- a/cli/src/main/java/org/citrontide/cli/StatusCommand.java
+++ b/cli/src/main/java/org/citrontide/cli/StatusCommand.java
@@ -146,9 +146,9 @@
         }
 
         @Override
-        public void received(Link link, Frame frame) {
+        public void frameReceived(Link link, Frame frame) {
             if (frame.hasHeartbeat()
-                    && byAddress.put(link.remote(), new Answer(link.peer(), frame.getHeartbeat())) == null) {
+                    && byAddress.put(link.remoteAddress(), new Answer(link.peer(), frame.getHeartbeat())) == null) {
                 missing.countDown();
             }
         }
@@ -159,12 +159,12 @@
         }
 
         @Override
-        public void rejected(String address, LinkFault fault) {
+        public void connectionRejected(String address, LinkFault fault) {
             System.err.println(address + ": " + fault.key());
         }
 
         @Override
-        public Heartbeat heartbeat() {
+        public Heartbeat buildHeartbeat() {
             return Heartbeat.getDefaultInstance();
         }
     }
--- a/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
+++ b/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
@@ -61,12 +61,12 @@
     private final EntryMetrics metrics;
     private final EventLoop<DispatchEvent> duty;
     private final Map<Long, CallerExchange> exchanges = new ConcurrentHashMap<>();
-    private final Map<UpstreamId, LinkEndpoint.Dialled> dialled = new HashMap<>();
+    private final Map<UpstreamId, LinkEndpoint.OutboundLink> dialled = new HashMap<>();
     private final Map<UpstreamId, Link> links = new ConcurrentHashMap<>();
     private final Map<UpstreamId, SidecarReport> reports = new ConcurrentHashMap<>();
     private final LogRateLimiter logBudget = new LogRateLimiter(LOG_LINES_PER_SECOND);
     private final AtomicLong nextRequest = new AtomicLong(1);
-    private Function<InetSocketAddress, LinkEndpoint.Dialled> dial = a -> {
+    private Function<InetSocketAddress, LinkEndpoint.OutboundLink> dial = a -> {
         throw new IllegalStateException("not started");
     };
     private volatile int openRequests;
@@ -101,7 +101,7 @@
      *
      * @param dialler keeps a link to an address
      */
-    public void start(Function<InetSocketAddress, LinkEndpoint.Dialled> dialler) {
+    public void start(Function<InetSocketAddress, LinkEndpoint.OutboundLink> dialler) {
         dial = dialler;
         duty.start();
     }
@@ -144,7 +144,7 @@
 
     @Override
     public void linkUp(Link link) {
-        if (link.isDialled()) {
+        if (link.isOutbound()) {
             UpstreamId id = id(link);
             links.put(id, link);
             duty.put(new DispatchEvent.LinkUp(id));
@@ -153,7 +153,7 @@
 
     @Override
     public void linkDown(Link link) {
-        if (link.isDialled()) {
+        if (link.isOutbound()) {
             UpstreamId id = id(link);
             links.remove(id, link);
             reports.remove(id);
@@ -162,7 +162,7 @@
     }
 
     @Override
-    public void received(Link link, Frame frame) {
+    public void frameReceived(Link link, Frame frame) {
         switch (frame.getBodyCase()) {
             case STATUS -> report(id(link), frame.getStatus());
             case ANSWER_HEAD ->
@@ -210,7 +210,8 @@
 
     private static UpstreamId id(Link link) {
         return new UpstreamId(
-                link.remote().getAddress().getHostAddress(), link.remote().getPort());
+                link.remoteAddress().getAddress().getHostAddress(),
+                link.remoteAddress().getPort());
     }
 
     private static DispatchRequest facts(long id, RequestContext c) {
@@ -241,7 +242,7 @@
                 finish(r.request(), r.verdict()).ifPresent(e -> e.refuse(r.verdict(), "see the title for the reason"));
             case DispatchAction.OpenLink d -> dial(d.upstream());
             case DispatchAction.CloseLink d ->
-                Optional.ofNullable(dialled.remove(d.upstream())).ifPresent(LinkEndpoint.Dialled::close);
+                Optional.ofNullable(dialled.remove(d.upstream())).ifPresent(LinkEndpoint.OutboundLink::close);
         }
     }
 
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
@@ -140,7 +140,7 @@
     }
 
     @Override
-    public void received(Link link, Frame frame) {
+    public void frameReceived(Link link, Frame frame) {
         switch (frame.getBodyCase()) {
             case ATTEMPT -> attempt(link, frame.getAttempt());
             case CANCEL ->
--- a/store/src/main/java/org/citrontide/store/configuration/ConfigurationService.java
+++ b/store/src/main/java/org/citrontide/store/configuration/ConfigurationService.java
@@ -91,7 +91,7 @@
      *
      * @return version in force and the time since the platform confirmed it
      */
-    public Heartbeat heartbeat() {
+    public Heartbeat buildHeartbeat() {
         Heartbeat.Builder b = Heartbeat.newBuilder().setConfigurationVersion(inForce.version());
         confirmedNanos.ifPresent(t -> b.setConfigurationAgeMs(
                 Duration.ofNanos(Math.max(0, clock.nanos() - t)).toMillis()));
@@ -124,16 +124,16 @@
      * @param frame the frame
      * @return false if the frame concerns something else
      */
-    public boolean received(Link link, Frame frame) {
+    public boolean handleFrame(Link link, Frame frame) {
         switch (frame.getBodyCase()) {
             case HEARTBEAT -> heartbeatReceived(link, frame.getHeartbeat());
             case CONFIGURATION_REQUEST ->
                 link.send(Frame.newBuilder()
-                        .setConfigurationBundle(ConfigurationCodec.bundle(
+                        .setConfigurationBundle(ConfigurationCodec.encodeBundle(
                                 inForce, frame.getConfigurationRequest().getHaveVersion()))
                         .build());
             case CONFIGURATION_BUNDLE ->
-                duty.offer(ConfigurationCodec.peerFiles(link.id(), frame.getConfigurationBundle()));
+                duty.offer(ConfigurationCodec.decodeBundle(link.id(), frame.getConfigurationBundle()));
             default -> {
                 return false;
             }
--- a/store/src/main/java/org/citrontide/store/links/ProcessLinks.java
+++ b/store/src/main/java/org/citrontide/store/links/ProcessLinks.java
@@ -36,16 +36,16 @@
         LOG.info("link-up")
                 .with("peer", link.peer().getVm())
                 .with("peer-role", link.peer().getRole())
-                .with("address", link.remote())
+                .with("address", link.remoteAddress())
                 .write();
         configuration.linkUp(link);
         role.linkUp(link);
     }
 
     @Override
-    public void received(Link link, Frame frame) {
-        if (!configuration.received(link, frame)) {
-            role.received(link, frame);
+    public void frameReceived(Link link, Frame frame) {
+        if (!configuration.handleFrame(link, frame)) {
+            role.frameReceived(link, frame);
         }
     }
 
@@ -53,14 +53,14 @@
     public void linkDown(Link link) {
         LOG.info("link-down")
                 .with("peer", link.peer().getVm())
-                .with("address", link.remote())
+                .with("address", link.remoteAddress())
                 .write();
         configuration.linkDown(link);
         role.linkDown(link);
     }
 
     @Override
-    public void rejected(String address, LinkFault fault) {
+    public void connectionRejected(String address, LinkFault fault) {
         if (!logBudget.tryAcquire(System.nanoTime())) {
             return;
         }
@@ -72,8 +72,8 @@
     }
 
     @Override
-    public Heartbeat heartbeat() {
-        return configuration.heartbeat();
+    public Heartbeat buildHeartbeat() {
+        return configuration.buildHeartbeat();
     }
 
     /** What a role does with its links. Called on event loops; must not block. */
@@ -92,7 +92,7 @@
          * @param link the link
          * @param frame the frame
          */
-        void received(Link link, Frame frame);
+        void frameReceived(Link link, Frame frame);
 
         /**
          * A link has ended.
--- a/wire/src/main/java/org/citrontide/wire/codec/ClaimCodec.java
+++ b/wire/src/main/java/org/citrontide/wire/codec/ClaimCodec.java
@@ -10,15 +10,15 @@
 import org.citrontide.wire.generated.ClaimBucket;
 import org.citrontide.wire.generated.ClaimRecord;
 
-/** Turns claim buckets into values of the platform's service and back. Stateless and safe for use by many threads. */
+/** Encodes claim buckets as values of the platform's key-value service and decodes them. Stateless and thread-safe. */
 public final class ClaimCodec {
     private ClaimCodec() {}
 
     /**
      * Encodes a bucket.
      *
-     * @param claims its claims
-     * @return the value
+     * @param claims the claims in the bucket
+     * @return the encoded value
      */
     public static byte[] encode(List<Claim> claims) {
         ClaimBucket.Builder b = ClaimBucket.newBuilder();
@@ -36,9 +36,9 @@
     /**
      * Decodes a bucket.
      *
-     * @param value the value
-     * @return its claims
-     * @throws InvalidProtocolBufferException if the value is not a bucket
+     * @param value the encoded value
+     * @return the claims in the bucket
+     * @throws InvalidProtocolBufferException if the value is not an encoded bucket
      */
     public static List<Claim> decode(byte[] value) throws InvalidProtocolBufferException {
         List<Claim> claims = new ArrayList<>();
--- a/wire/src/main/java/org/citrontide/wire/codec/ConfigurationCodec.java
+++ b/wire/src/main/java/org/citrontide/wire/codec/ConfigurationCodec.java
@@ -15,15 +15,15 @@
 import org.citrontide.wire.generated.HeadEntry;
 import org.citrontide.wire.generated.PublicationRecord;
 
-/** Turns heads and configurations into bytes and back. Stateless and safe for use by many threads. */
+/** Encodes and decodes configuration heads and configuration bundles. Stateless and thread-safe. */
 public final class ConfigurationCodec {
     private ConfigurationCodec() {}
 
     /**
-     * Encodes a head for the platform's service.
+     * Encodes a head for storage in the platform's key-value service.
      *
-     * @param head the head
-     * @return the value
+     * @param head the head to encode
+     * @return the encoded value
      */
     public static byte[] encode(Head head) {
         ConfigurationHead.Builder b = ConfigurationHead.newBuilder().setVersion(head.version());
@@ -42,9 +42,9 @@
     /**
      * Decodes a head.
      *
-     * @param value the value
+     * @param value the encoded value
      * @return the head
-     * @throws InvalidProtocolBufferException if the value is not a head
+     * @throws InvalidProtocolBufferException if the value is not an encoded head
      */
     public static Head decodeHead(byte[] value) throws InvalidProtocolBufferException {
         ConfigurationHead h = ConfigurationHead.parseFrom(value);
@@ -60,15 +60,15 @@
     }
 
     /**
-     * Builds the answer to a peer that asks for what changed.
+     * Builds the response to a peer's configuration request.
      *
-     * @param c configuration in force here
+     * @param configuration configuration in force in this process
      * @param haveVersion version that the peer has
-     * @return every file's version, and the content of those that are newer
+     * @return the version of every file, and the content of the files that are newer than {@code haveVersion}
      */
-    public static ConfigurationBundle bundle(Configuration c, long haveVersion) {
-        ConfigurationBundle.Builder b = ConfigurationBundle.newBuilder().setVersion(c.version());
-        c.files().forEach((name, f) -> {
+    public static ConfigurationBundle encodeBundle(Configuration configuration, long haveVersion) {
+        ConfigurationBundle.Builder b = ConfigurationBundle.newBuilder().setVersion(configuration.version());
+        configuration.files().forEach((name, f) -> {
             ConfigurationFile.Builder file =
                     ConfigurationFile.newBuilder().setName(name).setVersion(f.version());
             if (f.version() > haveVersion) {
@@ -80,13 +80,13 @@
     }
 
     /**
-     * Reads a peer's answer.
+     * Converts a peer's configuration bundle to an event.
      *
-     * @param peer identifier of the link
-     * @param bundle the answer
-     * @return the event for the spread controller
+     * @param peer identifier of the link to the peer
+     * @param bundle the received bundle
+     * @return the event for the configuration sync controller
      */
-    public static ConfigurationSyncEvent.PeerFiles peerFiles(long peer, ConfigurationBundle bundle) {
+    public static ConfigurationSyncEvent.PeerFiles decodeBundle(long peer, ConfigurationBundle bundle) {
         Map<String, Long> versions = new HashMap<>();
         Map<String, String> texts = new HashMap<>();
         for (ConfigurationFile f : bundle.getFilesList()) {
--- a/wire/src/main/java/org/citrontide/wire/codec/VerdictCodec.java
+++ b/wire/src/main/java/org/citrontide/wire/codec/VerdictCodec.java
@@ -6,17 +6,17 @@
 import org.citrontide.core.verdict.Verdict;
 import org.citrontide.wire.generated.AnswerEnd;
 
-/** Turns verdicts into the last frame of an answer and back. Stateless and safe for use by many threads. */
+/** Encodes verdicts in the last frame of a response and decodes them. Stateless and thread-safe. */
 public final class VerdictCodec {
     private VerdictCodec() {}
 
     /**
-     * Builds the last frame of an answer.
+     * Builds the last frame of a response.
      *
-     * @param id number of the attempt
-     * @param verdict its outcome
-     * @param length length of the whole body in bytes, of use only if it completed
-     * @return the frame's builder, without the load report
+     * @param id identifier of the attempt
+     * @param verdict outcome of the attempt
+     * @param length length of the whole response body in bytes, meaningful only for a completed attempt
+     * @return the builder of the frame, with the load report unset
      */
     public static AnswerEnd.Builder encode(long id, Verdict verdict, long length) {
         AnswerEnd.Builder b = AnswerEnd.newBuilder().setId(id).setLength(length);
@@ -31,12 +31,12 @@
     }
 
     /**
-     * Reads the outcome from the last frame of an answer. A kind or reason from a newer version counts as one that may
-     * have run.
+     * Decodes the outcome from the last frame of a response. An unknown kind, as a newer version may send, decodes as
+     * may have run; an unknown reason as {@link Reason#CONNECTION_LOST}.
      *
-     * @param end the frame
-     * @param status HTTP status from the answer's head
-     * @return the outcome
+     * @param end the last frame
+     * @param status HTTP status from the response head
+     * @return the outcome of the attempt
      */
     public static Verdict decode(AnswerEnd end, int status) {
         Reason reason = Reason.ofKey(end.getReason()).orElse(Reason.CONNECTION_LOST);
--- a/wire/src/main/java/org/citrontide/wire/link/Link.java
+++ b/wire/src/main/java/org/citrontide/wire/link/Link.java
@@ -9,9 +9,9 @@
 import org.citrontide.wire.generated.ProcessIdentity;
 
 /**
- * One authenticated connection to another process. Safe for use by many threads.
+ * An authenticated connection to another process. Thread-safe.
  *
- * <p>Invariant: the identifier is never used twice in a process.
+ * <p>Invariant: no two links of a process have the same identifier.
  */
 public final class Link {
     private static final AtomicLong NEXT_ID = new AtomicLong(1);
@@ -19,73 +19,74 @@
     private final long id = NEXT_ID.getAndIncrement();
     private final Channel channel;
     private final ProcessIdentity peer;
-    private final boolean dialled;
+    private final boolean outbound;
 
-    Link(Channel channel, ProcessIdentity peer, boolean dialled) {
+    Link(Channel channel, ProcessIdentity peer, boolean outbound) {
         this.channel = channel;
         this.peer = peer;
-        this.dialled = dialled;
+        this.outbound = outbound;
     }
 
     /**
-     * Returns the identifier of this connection.
+     * Returns the identifier of this link.
      *
-     * @return a number unique in this process
+     * @return a number that is unique within this process
      */
     public long id() {
         return id;
     }
 
     /**
-     * Returns who is at the other end.
+     * Returns the identity of the peer.
      *
-     * @return the peer's own word, proved by the shared key
+     * @return the identity that the peer sent and authenticated with the shared key
      */
     public ProcessIdentity peer() {
         return peer;
     }
 
     /**
-     * Says which side made the connection.
+     * Returns whether this process initiated the connection.
      *
-     * @return true if this process did
+     * @return true for an outbound connection, false for an accepted one
      */
-    public boolean isDialled() {
-        return dialled;
+    public boolean isOutbound() {
+        return outbound;
     }
 
     /**
-     * Returns the address of the other end.
+     * Returns the remote address of the connection.
      *
-     * @return for a dialled link the address that was dialled
+     * @return the remote address; for an outbound link, the address passed to {@link LinkEndpoint#dial}
      */
-    public InetSocketAddress remote() {
+    public InetSocketAddress remoteAddress() {
         return (InetSocketAddress) channel.remoteAddress();
     }
 
     /**
-     * Sends a frame.
+     * Sends a frame without reporting the outcome.
      *
-     * @param frame the frame
+     * @param frame the frame to send
      */
     public void send(Frame frame) {
         channel.writeAndFlush(frame, channel.voidPromise());
     }
 
     /**
-     * Sends a frame and tells whether it went out. A frame that did not go out whole was certainly not received.
+     * Sends a frame and reports whether it was written. A frame that was not written completely has not been received
+     * by the peer.
      *
-     * @param frame the frame
-     * @param sent gets true once the operating system has the whole frame, false if it never will
+     * @param frame the frame to send
+     * @param sent receives true once the whole frame is written to the socket, false if the write failed
      */
     public void send(Frame frame, Consumer<Boolean> sent) {
         channel.writeAndFlush(frame).addListener(f -> sent.accept(f.isSuccess()));
     }
 
     /**
-     * Says whether frames leave without piling up here.
+     * Returns whether the connection accepts frames without buffering more than the high-water mark.
      *
-     * @return false while too many bytes wait to be sent
+     * @return false from when the outbound buffer exceeds the high-water mark until it falls below the low-water mark
      */
     public boolean isWritable() {
         return channel.isWritable();
--- a/wire/src/main/java/org/citrontide/wire/link/LinkProof.java
+++ b/wire/src/main/java/org/citrontide/wire/link/LinkAuthenticator.java
@@ -12,11 +12,12 @@
 import org.citrontide.wire.generated.ProcessIdentity;
 
 /**
- * Proofs that a process holds the shared key: HMAC-SHA-256 over a label, both nonces and the process's identity.
+ * Computes proofs that a process holds the shared key: HMAC-SHA-256 over a label, both nonces and the identity of the
+ * process.
  *
- * <p>Immutable and safe for use by many threads.
+ * <p>Immutable and thread-safe.
  */
-final class LinkProof {
+final class LinkAuthenticator {
     static final String HELLO = "hello";
     static final String WELCOME = "welcome";
 
@@ -26,17 +27,17 @@
 
     private final SecretKeySpec key;
 
-    LinkProof(String sharedKey) {
+    LinkAuthenticator(String sharedKey) {
         this.key = new SecretKeySpec(sharedKey.getBytes(StandardCharsets.UTF_8), ALGORITHM);
     }
 
-    static ByteString nonce() {
+    static ByteString newNonce() {
         byte[] nonce = new byte[NONCE_BYTES];
         RANDOM.nextBytes(nonce);
         return ByteString.copyFrom(nonce);
     }
 
-    ByteString prove(String label, ByteString acceptorNonce, ByteString diallerNonce, ProcessIdentity identity) {
+    ByteString computeProof(String label, ByteString acceptorNonce, ByteString diallerNonce, ProcessIdentity identity) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
             mac.init(key);
@@ -48,7 +49,7 @@
             mac.update(identity.toByteArray());
             return ByteString.copyFrom(mac.doFinal());
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("HMAC-SHA-256 is part of every JDK", e);
+            throw new IllegalStateException("HMAC-SHA-256 is not available in this JDK", e);
         }
     }
 
--- a/wire/src/main/java/org/citrontide/wire/link/LinkChannelHandler.java
+++ b/wire/src/main/java/org/citrontide/wire/link/LinkChannelHandler.java
@@ -15,54 +15,55 @@
 import org.citrontide.wire.generated.Welcome;
 
 /**
- * Authenticates one connection, then hands its frames on and sends heartbeats.
+ * Authenticates a connection, then forwards its frames to the listener and sends heartbeats.
  *
- * <p>Invariant: no frame reaches the listener before both sides have proved that they hold the shared key. Confined to
- * the connection's event loop.
+ * <p>Invariant: no frame reaches the listener before this side has verified that the peer holds the shared key.
+ * Confined to the connection's event loop.
  */
 final class LinkChannelHandler extends SimpleChannelInboundHandler<Frame> {
-    private static final long HANDSHAKE_SECONDS = 5;
-    private static final long HEARTBEAT_MILLIS = 1000;
+    private static final long HANDSHAKE_TIMEOUT_SECONDS = 5;
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 1000;
 
-    private final boolean accepting;
-    private final LinkProof proof;
-    private final ProcessIdentity self;
+    private final boolean isAcceptor;
+    private final LinkAuthenticator authenticator;
+    private final ProcessIdentity localIdentity;
     private final LinkListener listener;
-    private final ByteString nonce = LinkProof.nonce();
+    private final ByteString nonce = LinkAuthenticator.newNonce();
     private ByteString peerNonce = ByteString.EMPTY;
     private Link link;
-    private ScheduledFuture<?> heartbeats;
+    private ScheduledFuture<?> heartbeatTask;
 
-    LinkChannelHandler(boolean accepting, LinkProof proof, ProcessIdentity self, LinkListener listener) {
-        this.accepting = accepting;
-        this.proof = proof;
-        this.self = self;
+    LinkChannelHandler(
+            boolean isAcceptor, LinkAuthenticator authenticator, ProcessIdentity localIdentity, LinkListener listener) {
+        this.isAcceptor = isAcceptor;
+        this.authenticator = authenticator;
+        this.localIdentity = localIdentity;
         this.listener = listener;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        if (accepting) {
+        if (isAcceptor) {
             ctx.writeAndFlush(Frame.newBuilder()
                     .setChallenge(Challenge.newBuilder().setNonce(nonce))
                     .build());
         }
-        ctx.executor().schedule(() -> endLateHandshake(ctx), HANDSHAKE_SECONDS, TimeUnit.SECONDS);
+        ctx.executor().schedule(() -> checkHandshakeTimeout(ctx), HANDSHAKE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Frame frame) {
         if (link == null) {
-            handshake(ctx, frame);
+            handleHandshakeFrame(ctx, frame);
             return;
         }
-        listener.received(link, frame);
+        listener.frameReceived(link, frame);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (link != null) {
-            heartbeats.cancel(false);
+            heartbeatTask.cancel(false);
             listener.linkDown(link);
             link = null;
         }
@@ -84,79 +85,82 @@
         ctx.close();
     }
 
-    private void handshake(ChannelHandlerContext ctx, Frame frame) {
+    private void handleHandshakeFrame(ChannelHandlerContext ctx, Frame frame) {
         switch (frame.getBodyCase()) {
-            case CHALLENGE -> answerChallenge(ctx, frame.getChallenge());
-            case HELLO -> checkHello(ctx, frame.getHello());
-            case WELCOME -> checkWelcome(ctx, frame.getWelcome());
+            case CHALLENGE -> handleChallenge(ctx, frame.getChallenge());
+            case HELLO -> handleHello(ctx, frame.getHello());
+            case WELCOME -> handleWelcome(ctx, frame.getWelcome());
             default -> reject(ctx, LinkFault.UNEXPECTED_FRAME);
         }
     }
 
-    private void answerChallenge(ChannelHandlerContext ctx, Challenge challenge) {
-        if (accepting || !peerNonce.isEmpty() || challenge.getNonce().isEmpty()) {
+    private void handleChallenge(ChannelHandlerContext ctx, Challenge challenge) {
+        if (isAcceptor || !peerNonce.isEmpty() || challenge.getNonce().isEmpty()) {
             reject(ctx, LinkFault.UNEXPECTED_FRAME);
             return;
         }
         peerNonce = challenge.getNonce();
         Hello hello = Hello.newBuilder()
                 .setNonce(nonce)
-                .setIdentity(self)
-                .setProof(proof.prove(LinkProof.HELLO, peerNonce, nonce, self))
+                .setIdentity(localIdentity)
+                .setProof(authenticator.computeProof(LinkAuthenticator.HELLO, peerNonce, nonce, localIdentity))
                 .build();
         ctx.writeAndFlush(Frame.newBuilder().setHello(hello).build());
     }
 
-    private void checkHello(ChannelHandlerContext ctx, Hello hello) {
-        if (!accepting) {
+    private void handleHello(ChannelHandlerContext ctx, Hello hello) {
+        if (!isAcceptor) {
             reject(ctx, LinkFault.UNEXPECTED_FRAME);
             return;
         }
-        ByteString expected = proof.prove(LinkProof.HELLO, nonce, hello.getNonce(), hello.getIdentity());
-        if (!LinkProof.isEqual(expected, hello.getProof())) {
+        ByteString expected =
+                authenticator.computeProof(LinkAuthenticator.HELLO, nonce, hello.getNonce(), hello.getIdentity());
+        if (!LinkAuthenticator.isEqual(expected, hello.getProof())) {
             reject(ctx, LinkFault.WRONG_KEY);
             return;
         }
         Welcome welcome = Welcome.newBuilder()
-                .setIdentity(self)
-                .setProof(proof.prove(LinkProof.WELCOME, nonce, hello.getNonce(), self))
+                .setIdentity(localIdentity)
+                .setProof(authenticator.computeProof(LinkAuthenticator.WELCOME, nonce, hello.getNonce(), localIdentity))
                 .build();
         ctx.writeAndFlush(Frame.newBuilder().setWelcome(welcome).build());
-        open(ctx, hello.getIdentity());
+        establishLink(ctx, hello.getIdentity());
     }
 
-    private void checkWelcome(ChannelHandlerContext ctx, Welcome welcome) {
-        if (accepting || peerNonce.isEmpty()) {
+    private void handleWelcome(ChannelHandlerContext ctx, Welcome welcome) {
+        if (isAcceptor || peerNonce.isEmpty()) {
             reject(ctx, LinkFault.UNEXPECTED_FRAME);
             return;
         }
-        ByteString expected = proof.prove(LinkProof.WELCOME, peerNonce, nonce, welcome.getIdentity());
-        if (!LinkProof.isEqual(expected, welcome.getProof())) {
+        ByteString expected =
+                authenticator.computeProof(LinkAuthenticator.WELCOME, peerNonce, nonce, welcome.getIdentity());
+        if (!LinkAuthenticator.isEqual(expected, welcome.getProof())) {
             reject(ctx, LinkFault.WRONG_KEY);
             return;
         }
-        open(ctx, welcome.getIdentity());
+        establishLink(ctx, welcome.getIdentity());
     }
 
-    private void open(ChannelHandlerContext ctx, ProcessIdentity peer) {
-        link = new Link(ctx.channel(), peer, !accepting);
+    private void establishLink(ChannelHandlerContext ctx, ProcessIdentity peer) {
+        link = new Link(ctx.channel(), peer, !isAcceptor);
         listener.linkUp(link);
-        heartbeats =
-                ctx.executor().scheduleAtFixedRate(() -> heartbeat(ctx), 0, HEARTBEAT_MILLIS, TimeUnit.MILLISECONDS);
+        heartbeatTask = ctx.executor()
+                .scheduleAtFixedRate(() -> sendHeartbeat(ctx), 0, HEARTBEAT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void heartbeat(ChannelHandlerContext ctx) {
-        ctx.writeAndFlush(Frame.newBuilder().setHeartbeat(listener.heartbeat()).build(), ctx.voidPromise());
+    private void sendHeartbeat(ChannelHandlerContext ctx) {
+        ctx.writeAndFlush(
+                Frame.newBuilder().setHeartbeat(listener.buildHeartbeat()).build(), ctx.voidPromise());
     }
 
-    private void endLateHandshake(ChannelHandlerContext ctx) {
+    private void checkHandshakeTimeout(ChannelHandlerContext ctx) {
         if (link == null && ctx.channel().isActive()) {
             reject(ctx, LinkFault.HANDSHAKE_TIMEOUT);
         }
     }
 
     private void reject(ChannelHandlerContext ctx, LinkFault fault) {
-        listener.rejected(String.valueOf(ctx.channel().remoteAddress()), fault);
+        listener.connectionRejected(String.valueOf(ctx.channel().remoteAddress()), fault);
         ctx.close();
     }
 }
--- a/wire/src/main/java/org/citrontide/wire/link/LinkEndpoint.java
+++ b/wire/src/main/java/org/citrontide/wire/link/LinkEndpoint.java
@@ -28,25 +28,25 @@
 import org.citrontide.wire.generated.ProcessIdentity;
 
 /**
- * Accepts links from other processes and keeps links to others.
+ * Accepts links from other processes and maintains outbound links.
  *
- * <p>Invariant: frames above {@value #MAX_FRAME_BYTES} bytes and garbage close their own link and no other. Safe for
- * use by many threads.
+ * <p>Invariant: a frame above {@value #MAX_FRAME_BYTES} bytes or a malformed frame closes only the link that it arrived
+ * on. Thread-safe.
  */
 public final class LinkEndpoint implements AutoCloseable {
-    /** Longest frame in bytes. */
+    /** Maximum length of a frame in bytes. */
     public static final int MAX_FRAME_BYTES = 8 * 1024 * 1024;
 
-    private static final int LENGTH_BYTES = 4;
-    private static final int SILENCE_SECONDS = 4;
+    private static final int LENGTH_FIELD_BYTES = 4;
+    private static final int READ_IDLE_SECONDS = 4;
     private static final int CONNECT_TIMEOUT_MS = 2000;
-    private static final int REDIAL_MS = 500;
-    private static final int LOW_WATER_BYTES = 256 * 1024;
-    private static final int HIGH_WATER_BYTES = 1024 * 1024;
+    private static final int RECONNECT_DELAY_MS = 500;
+    private static final int LOW_WATER_MARK_BYTES = 256 * 1024;
+    private static final int HIGH_WATER_MARK_BYTES = 1024 * 1024;
 
     private final EventLoopGroup group;
-    private final LinkProof proof;
-    private final ProcessIdentity self;
+    private final LinkAuthenticator authenticator;
+    private final ProcessIdentity localIdentity;
     private final LinkListener listener;
     private volatile boolean closed;
 
@@ -54,23 +54,23 @@
      * Starts the event loops.
      *
      * @param threads number of event loops
-     * @param sharedKey key that every process holds
-     * @param self identity to prove to peers
-     * @param listener gets what happens
+     * @param sharedKey key shared by all processes of the deployment
+     * @param localIdentity identity of this process, sent to peers
+     * @param listener receives the events of all links
      */
-    public LinkEndpoint(int threads, String sharedKey, ProcessIdentity self, LinkListener listener) {
+    public LinkEndpoint(int threads, String sharedKey, ProcessIdentity localIdentity, LinkListener listener) {
         this.group = new MultiThreadIoEventLoopGroup(
                 threads, new DefaultThreadFactory("link", true), NioIoHandler.newFactory());
-        this.proof = new LinkProof(sharedKey);
-        this.self = self;
+        this.authenticator = new LinkAuthenticator(sharedKey);
+        this.localIdentity = localIdentity;
         this.listener = listener;
     }
 
     /**
-     * Accepts links.
+     * Binds a server socket and accepts links on it.
      *
-     * @param address IP number and TCP port
-     * @return the port bound, which differs from the address's if that is 0
+     * @param address IP address and TCP port; port 0 selects a free port
+     * @return the bound port
      */
     public int listen(InetSocketAddress address) {
         Channel channel = new ServerBootstrap()
@@ -86,13 +86,13 @@
     }
 
     /**
-     * Keeps a link to another process: dials, and dials again when the link ends.
+     * Maintains a link to another process: connects, and reconnects whenever the connection fails or closes.
      *
-     * @param address IP number and TCP port
-     * @return ends the link and the dialling when closed
+     * @param address IP address and TCP port
+     * @return the outbound link; closing it disconnects and stops reconnecting
      */
-    public Dialled dial(InetSocketAddress address) {
-        Dialled d = new Dialled(address);
+    public OutboundLink dial(InetSocketAddress address) {
+        OutboundLink d = new OutboundLink(address);
         d.connect();
         return d;
     }
@@ -103,29 +103,31 @@
         group.shutdownGracefully(0, CONNECT_TIMEOUT_MS, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    private ChannelInitializer<SocketChannel> initializer(boolean accepting) {
+    private ChannelInitializer<SocketChannel> initializer(boolean isAcceptor) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(SocketChannel ch) {
-                ch.config().setWriteBufferWaterMark(new WriteBufferWaterMark(LOW_WATER_BYTES, HIGH_WATER_BYTES));
+                ch.config()
+                        .setWriteBufferWaterMark(new WriteBufferWaterMark(LOW_WATER_MARK_BYTES, HIGH_WATER_MARK_BYTES));
                 ch.pipeline()
-                        .addLast(new IdleStateHandler(SILENCE_SECONDS, 0, 0))
-                        .addLast(new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
+                        .addLast(new IdleStateHandler(READ_IDLE_SECONDS, 0, 0))
+                        .addLast(new LengthFieldBasedFrameDecoder(
+                                MAX_FRAME_BYTES, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES))
                         .addLast(new ProtobufDecoder(Frame.getDefaultInstance()))
-                        .addLast(new LengthFieldPrepender(LENGTH_BYTES))
+                        .addLast(new LengthFieldPrepender(LENGTH_FIELD_BYTES))
                         .addLast(new ProtobufEncoder())
-                        .addLast(new LinkChannelHandler(accepting, proof, self, listener));
+                        .addLast(new LinkChannelHandler(isAcceptor, authenticator, localIdentity, listener));
             }
         };
     }
 
-    /** A link that is kept up. Safe for use by many threads. */
-    public final class Dialled implements AutoCloseable {
+    /** An outbound link that reconnects after the connection is lost. Thread-safe. */
+    public final class OutboundLink implements AutoCloseable {
         private final InetSocketAddress address;
         private final AtomicBoolean ended = new AtomicBoolean();
         private volatile Channel channel;
 
-        private Dialled(InetSocketAddress address) {
+        private OutboundLink(InetSocketAddress address) {
             this.address = address;
         }
 
@@ -150,23 +152,23 @@
                     .handler(initializer(false));
             b.connect(address).addListener((ChannelFuture f) -> {
                 if (!f.isSuccess()) {
-                    redial();
+                    scheduleReconnect();
                     return;
                 }
                 channel = f.channel();
-                channel.closeFuture().addListener(c -> redial());
+                channel.closeFuture().addListener(c -> scheduleReconnect());
                 if (ended.get()) {
                     channel.close();
                 }
             });
         }
 
-        private void redial() {
+        private void scheduleReconnect() {
             if (ended.get() || closed || group.isShuttingDown()) {
                 return;
             }
-            long jitter = ThreadLocalRandom.current().nextLong(REDIAL_MS);
-            group.schedule(this::connect, REDIAL_MS + jitter, TimeUnit.MILLISECONDS);
+            long jitter = ThreadLocalRandom.current().nextLong(RECONNECT_DELAY_MS);
+            group.schedule(this::connect, RECONNECT_DELAY_MS + jitter, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/wire/src/main/java/org/citrontide/wire/link/LinkFault.java
+++ b/wire/src/main/java/org/citrontide/wire/link/LinkFault.java
@@ -2,19 +2,19 @@
 
 import java.util.Locale;
 
-/** Why a connection was broken off. Immutable. */
+/** The reason for which a connection was rejected or closed. Immutable. */
 public enum LinkFault {
     /** The peer does not hold the shared key. */
     WRONG_KEY,
-    /** The peer did not prove itself in time. */
+    /** The handshake did not complete within its timeout. */
     HANDSHAKE_TIMEOUT,
-    /** The peer sent something else than its proof first. */
+    /** The peer sent a frame that is not valid at this stage of the handshake. */
     UNEXPECTED_FRAME,
-    /** The peer sent bytes that are no frame, or a frame above the limit. */
+    /** The peer sent a malformed frame, or a frame above the size limit. */
     BAD_FRAME,
-    /** Nothing was heard for too long. */
+    /** No frame was received within the read idle timeout. */
     SILENT,
-    /** The connection could not be made. */
+    /** The connection could not be established. */
     UNREACHABLE;
 
     /**
--- a/wire/src/main/java/org/citrontide/wire/link/LinkListener.java
+++ b/wire/src/main/java/org/citrontide/wire/link/LinkListener.java
@@ -3,43 +3,43 @@
 import org.citrontide.wire.generated.Frame;
 import org.citrontide.wire.generated.Heartbeat;
 
-/** Gets what happens on links. Called on the links' event loops; must not block. */
+/** Receives the events of links. Called on the event loops of the links; implementations must not block. */
 public interface LinkListener {
 
     /**
-     * A link is authenticated.
+     * Called when a link has been authenticated.
      *
-     * @param link the link
+     * @param link the new link
      */
     void linkUp(Link link);
 
     /**
-     * A frame arrived.
+     * Called when a frame arrives.
      *
-     * @param link the link
-     * @param frame the frame
+     * @param link the link that the frame arrived on
+     * @param frame the received frame
      */
-    void received(Link link, Frame frame);
+    void frameReceived(Link link, Frame frame);
 
     /**
-     * A link that was up has ended. No frame of it follows.
+     * Called when an authenticated link has closed. No frame of the link follows.
      *
-     * @param link the link
+     * @param link the closed link
      */
     void linkDown(Link link);
 
     /**
-     * A connection was refused or broken off for a fault of the peer.
+     * Called when a connection is rejected or closed because of a fault of the peer.
      *
-     * @param address the peer's address
-     * @param fault what was wrong
+     * @param address remote address of the connection
+     * @param fault the reason
      */
-    void rejected(String address, LinkFault fault);
+    void connectionRejected(String address, LinkFault fault);
 
     /**
      * Builds the next heartbeat.
      *
      * @return the heartbeat with the digest of the configuration in force
      */
-    Heartbeat heartbeat();
+    Heartbeat buildHeartbeat();
 }
