--- a/cli/src/main/java/org/citrontide/cli/PublishCommand.java
+++ b/cli/src/main/java/org/citrontide/cli/PublishCommand.java
@@ -21,7 +21,7 @@
 import org.citrontide.core.toml.ValidationResult;
 import org.citrontide.store.client.StoreClient;
 import org.citrontide.store.client.StoreReply;
-import org.citrontide.store.configuration.StoredConfiguration;
+import org.citrontide.store.configuration.StoreConfigurationReader;
 import org.citrontide.wire.codec.ConfigurationCodec;
 
 /** The command {@code publish}. */
@@ -82,16 +82,18 @@
         return switch (action) {
             case PublicationAction.ReadHead r -> {
                 pause(r.delay());
-                yield headRead(store.get(StoredConfiguration.HEAD_KEY).join());
+                yield headRead(store.get(StoreConfigurationReader.HEAD_KEY).join());
             }
             case PublicationAction.ReadFile r ->
-                store.get(StoredConfiguration.FILE_PREFIX + r.hash()).join() instanceof StoreReply.Value v
+                store.get(StoreConfigurationReader.FILE_PREFIX + r.hash()).join() instanceof StoreReply.Value v
                         ? new PublicationEvent.FileRead(r.hash(), new String(v.value(), StandardCharsets.UTF_8))
                         : new PublicationEvent.CallFailed(false);
             case PublicationAction.WriteFile w -> fileWritten(store, w);
             case PublicationAction.WriteHead w ->
                 switch (store.put(
-                                StoredConfiguration.HEAD_KEY, w.expectedRevision(), ConfigurationCodec.encode(w.head()))
+                                StoreConfigurationReader.HEAD_KEY,
+                                w.expectedRevision(),
+                                ConfigurationCodec.encode(w.head()))
                         .join()) {
                     case StoreReply.Written x -> new PublicationEvent.HeadWritten();
                     case StoreReply.Conflict c -> new PublicationEvent.HeadConflict();
@@ -105,15 +107,15 @@
     /** A conflict means that the same content is there already, for its key is its hash. */
     private static PublicationEvent fileWritten(StoreClient store, PublicationAction.WriteFile w) {
         byte[] bytes = w.text().getBytes(StandardCharsets.UTF_8);
-        StoreReply reply =
-                store.put(StoredConfiguration.FILE_PREFIX + w.hash(), 0, bytes).join();
+        StoreReply reply = store.put(StoreConfigurationReader.FILE_PREFIX + w.hash(), 0, bytes)
+                .join();
         boolean there = reply instanceof StoreReply.Written || reply instanceof StoreReply.Conflict;
         return there ? new PublicationEvent.FileWritten(w.hash()) : new PublicationEvent.CallFailed(false);
     }
 
     private static PublicationEvent headRead(StoreReply reply) {
         return switch (reply) {
-            case StoreReply.Missing m -> new PublicationEvent.HeadRead(0, Head.EMPTY);
+            case StoreReply.NotFound m -> new PublicationEvent.HeadRead(0, Head.EMPTY);
             case StoreReply.Value v -> {
                 try {
                     yield new PublicationEvent.HeadRead(v.revision(), ConfigurationCodec.decodeHead(v.value()));
--- a/cli/src/main/java/org/citrontide/cli/StatusCommand.java
+++ b/cli/src/main/java/org/citrontide/cli/StatusCommand.java
@@ -83,7 +83,7 @@
         }
         StoreClient store = Stores.connect(line);
         for (String zone : line.getOptionValue(ZONES).split(",")) {
-            List<ListedVm> vms = store.vms(zone, 0, Duration.ZERO)
+            List<ListedVm> vms = store.watchVmList(zone, 0, Duration.ZERO)
                     .join()
                     .map(StoreClient.VmList::vms)
                     .orElse(List.of());
--- a/entry/src/main/java/org/citrontide/entry/daemon/EntryModule.java
+++ b/entry/src/main/java/org/citrontide/entry/daemon/EntryModule.java
@@ -18,8 +18,8 @@
 import org.citrontide.runtime.duty.Clock;
 import org.citrontide.store.client.StoreClient;
 import org.citrontide.store.configuration.ConfigurationService;
-import org.citrontide.store.configuration.StoredConfiguration;
-import org.citrontide.store.links.ProcessLinks;
+import org.citrontide.store.configuration.StoreConfigurationReader;
+import org.citrontide.store.links.ProcessLinkListener;
 import org.citrontide.wire.generated.ProcessIdentity;
 import org.citrontide.wire.link.LinkEndpoint;
 
@@ -77,7 +77,7 @@
     @Singleton
     ConfigurationService configuration(StoreClient store, RandomGenerator r, DispatchShell dispatch) {
         return new ConfigurationService(
-                new StoredConfiguration(store),
+                new StoreConfigurationReader(store),
                 Clock.SYSTEM,
                 r,
                 c -> dispatch.learn(new DispatchEvent.ConfigurationChanged(c)));
@@ -93,7 +93,7 @@
                 .setIncarnation(incarnation)
                 .build();
         return new LinkEndpoint(
-                LINK_THREADS, settings.process().linkKey(), self, new ProcessLinks(configuration, dispatch));
+                LINK_THREADS, settings.process().linkKey(), self, new ProcessLinkListener(configuration, dispatch));
     }
 
     @Provides
--- a/entry/src/main/java/org/citrontide/entry/daemon/VmListWatcher.java
+++ b/entry/src/main/java/org/citrontide/entry/daemon/VmListWatcher.java
@@ -68,7 +68,7 @@
 
     private void watch(String zone) {
         long after = lists.containsKey(zone) ? lists.get(zone).revision() : 0;
-        store.vms(zone, after, WAIT).thenAcceptAsync(list -> watched(zone, list), thread);
+        store.watchVmList(zone, after, WAIT).thenAcceptAsync(list -> watched(zone, list), thread);
     }
 
     private void watched(String zone, Optional<StoreClient.VmList> list) {
--- a/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
+++ b/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
@@ -30,7 +30,7 @@
 import org.citrontide.runtime.duty.EventLoop;
 import org.citrontide.runtime.log.EventLog;
 import org.citrontide.runtime.log.LogRateLimiter;
-import org.citrontide.store.links.ProcessLinks;
+import org.citrontide.store.links.ProcessLinkListener;
 import org.citrontide.wire.codec.VerdictCodec;
 import org.citrontide.wire.generated.AnswerEnd;
 import org.citrontide.wire.generated.Attempt;
@@ -47,7 +47,8 @@
  * <p>Invariant: the dispatcher and the maps of links are touched by the dispatch thread alone. Safe for use by many
  * threads.
  */
-public final class DispatchShell implements EntryHandler.ExchangeSink, ProcessLinks.RoleLinks, AutoCloseable {
+public final class DispatchShell
+        implements EntryHandler.ExchangeSink, ProcessLinkListener.RoleLinkListener, AutoCloseable {
     private static final EventLog LOG = EventLog.of(DispatchShell.class);
     private static final int RING = 16_384;
     private static final int LOG_LINES_PER_SECOND = 50;
--- a/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarModule.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarModule.java
@@ -17,8 +17,8 @@
 import org.citrontide.store.client.HttpClients;
 import org.citrontide.store.client.StoreClient;
 import org.citrontide.store.configuration.ConfigurationService;
-import org.citrontide.store.configuration.StoredConfiguration;
-import org.citrontide.store.links.ProcessLinks;
+import org.citrontide.store.configuration.StoreConfigurationReader;
+import org.citrontide.store.links.ProcessLinkListener;
 import org.citrontide.wire.generated.ProcessIdentity;
 import org.citrontide.wire.link.LinkEndpoint;
 
@@ -75,7 +75,8 @@
     @Provides
     @Singleton
     ConfigurationService configuration(StoreClient store, GateShell gate) {
-        return new ConfigurationService(new StoredConfiguration(store), Clock.SYSTEM, random.split(), gate::configured);
+        return new ConfigurationService(
+                new StoreConfigurationReader(store), Clock.SYSTEM, random.split(), gate::configured);
     }
 
     @Provides
@@ -89,6 +90,6 @@
                 .setService(settings.service())
                 .build();
         return new LinkEndpoint(
-                LINK_THREADS, settings.process().linkKey(), self, new ProcessLinks(configuration, gate));
+                LINK_THREADS, settings.process().linkKey(), self, new ProcessLinkListener(configuration, gate));
     }
 }
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/ClaimStore.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/ClaimStore.java
@@ -31,7 +31,7 @@
     CompletableFuture<ClaimEvent> read(ClaimAction.ReadBucket r) {
         return store.get(key(r.bucket())).thenApply(reply -> switch (reply) {
             case StoreReply.Value v -> decoded(r.bucket(), v);
-            case StoreReply.Missing m -> new ClaimEvent.BucketRead(r.bucket(), 0, List.of());
+            case StoreReply.NotFound m -> new ClaimEvent.BucketRead(r.bucket(), 0, List.of());
             default -> new ClaimEvent.BucketFailed(r.bucket(), false);
         });
     }
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
@@ -30,7 +30,7 @@
 import org.citrontide.runtime.log.EventLog;
 import org.citrontide.runtime.log.LogRateLimiter;
 import org.citrontide.sidecar.upstream.UpstreamCall;
-import org.citrontide.store.links.ProcessLinks;
+import org.citrontide.store.links.ProcessLinkListener;
 import org.citrontide.wire.codec.VerdictCodec;
 import org.citrontide.wire.generated.AnswerChunk;
 import org.citrontide.wire.generated.AnswerEnd;
@@ -45,7 +45,7 @@
  *
  * <p>Invariant: the gate and the attempts under way are touched by the gate thread alone. Safe for use by many threads.
  */
-public final class GateShell implements ProcessLinks.RoleLinks, AutoCloseable {
+public final class GateShell implements ProcessLinkListener.RoleLinkListener, AutoCloseable {
     private static final EventLog LOG = EventLog.of(GateShell.class);
     private static final int RING = 16_384;
     private static final int LOG_LINES_PER_SECOND = 50;
--- a/store/src/main/java/org/citrontide/store/client/HttpClients.java
+++ b/store/src/main/java/org/citrontide/store/client/HttpClients.java
@@ -7,7 +7,7 @@
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** Makes HTTP clients that fit a small process. Stateless and safe for use by many threads. */
+/** Creates HTTP clients with a small memory footprint. Stateless and thread-safe. */
 public final class HttpClients {
     private static final int CONNECT_TIMEOUT_MS = 1000;
     private static final int IDLE_TIMEOUT_MS = 60_000;
@@ -15,16 +15,16 @@
     private HttpClients() {}
 
     /**
-     * Starts a client that neither follows redirects nor keeps cookies.
+     * Starts a client that doesn't follow redirects and doesn't decode content.
      *
-     * @param name name of its threads
-     * @param threads most threads
-     * @param connections most connections to one address
+     * @param name name prefix of the client's threads
+     * @param maxThreads maximum number of threads
+     * @param maxConnections maximum number of connections, and of queued requests, per destination
      * @return the started client
-     * @throws IOException if it can't start
+     * @throws IOException if the client can't be started
      */
-    public static HttpClient start(String name, int threads, int connections) throws IOException {
-        QueuedThreadPool pool = new QueuedThreadPool(threads, 1);
+    public static HttpClient start(String name, int maxThreads, int maxConnections) throws IOException {
+        QueuedThreadPool pool = new QueuedThreadPool(maxThreads, 1);
         pool.setName(name);
         pool.setDaemon(true);
         ClientConnector connector = new ClientConnector();
@@ -35,8 +35,8 @@
         client.setExecutor(pool);
         client.setConnectTimeout(CONNECT_TIMEOUT_MS);
         client.setIdleTimeout(IDLE_TIMEOUT_MS);
-        client.setMaxConnectionsPerDestination(connections);
-        client.setMaxRequestsQueuedPerDestination(connections);
+        client.setMaxConnectionsPerDestination(maxConnections);
+        client.setMaxRequestsQueuedPerDestination(maxConnections);
         client.setFollowRedirects(false);
         client.getContentDecoderFactories().clear();
         try {
@@ -44,7 +44,7 @@
         } catch (IOException e) {
             throw e;
         } catch (Exception e) {
-            throw new IOException("the HTTP client did not start", e);
+            throw new IOException("HTTP client failed to start", e);
         }
         client.getProtocolHandlers().clear();
         return client;
--- a/store/src/main/java/org/citrontide/store/client/StoreClient.java
+++ b/store/src/main/java/org/citrontide/store/client/StoreClient.java
@@ -24,35 +24,35 @@
 import org.eclipse.jetty.http.HttpMethod;
 
 /**
- * Speaks to the platform's key-value service over HTTP, as {@code docs/STORE-PROTOCOL.md} describes it.
+ * Client of the platform's key-value service over HTTP; {@code docs/STORE-PROTOCOL.md} specifies the protocol.
  *
- * <p>Invariant: every call ends within its time-out, and the futures never fail: a failure is a {@link
- * StoreReply.Failed} that says whether the call may have taken effect. Safe for use by many threads.
+ * <p>Invariant: every call ends within its timeout, and the futures never complete exceptionally: a failure is a {@link
+ * StoreReply.Failed} that says whether the call may have taken effect. Thread-safe.
  */
 public final class StoreClient {
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
-    private static final int THREADS = 4;
-    private static final int CONNECTIONS = 16;
+    private static final int MAX_THREADS = 4;
+    private static final int MAX_CONNECTIONS = 16;
     private static final int MAX_REPLY_BYTES = 8 * 1024 * 1024;
     private static final int OK = 200;
     private static final int NOT_MODIFIED = 304;
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 409;
-    private static final int TOO_LARGE = 413;
-    private static final int TOO_MANY = 429;
+    private static final int CONTENT_TOO_LARGE = 413;
+    private static final int TOO_MANY_REQUESTS = 429;
     private static final String REVISION = "Revision";
     private static final String EXPECTED_REVISION = "Expected-Revision";
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final HttpClient client;
     private final List<InetSocketAddress> addresses;
-    private final AtomicInteger preferred = new AtomicInteger();
+    private final AtomicInteger preferredAddressIndex = new AtomicInteger();
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
      * @param client started HTTP client
-     * @param addresses addresses of the service; the next one is used after a failure
+     * @param addresses addresses of the service; a failed call makes the next address the preferred one
      */
     public StoreClient(HttpClient client, List<InetSocketAddress> addresses) {
         this.client = client;
@@ -60,33 +60,33 @@
     }
 
     /**
-     * Starts an HTTP client of its own and makes a client that uses it.
+     * Creates a client with its own HTTP client.
      *
-     * @param addresses addresses of the service; the next one is used after a failure
+     * @param addresses addresses of the service; a failed call makes the next address the preferred one
      * @return the client
-     * @throws IOException if the HTTP client can't start
+     * @throws IOException if the HTTP client can't be started
      */
     public static StoreClient connect(List<InetSocketAddress> addresses) throws IOException {
-        return new StoreClient(HttpClients.start("store-client", THREADS, CONNECTIONS), addresses);
+        return new StoreClient(HttpClients.start("store-client", MAX_THREADS, MAX_CONNECTIONS), addresses);
     }
 
     /**
      * Reads a value.
      *
-     * @param key its key
-     * @return {@link StoreReply.Value}, {@link StoreReply.Missing} or {@link StoreReply.Failed}
+     * @param key key of the value
+     * @return {@link StoreReply.Value}, {@link StoreReply.NotFound} or {@link StoreReply.Failed}
      */
     public CompletableFuture<StoreReply> get(String key) {
         return call(HttpMethod.GET, "/v1/values/" + key, CALL_TIMEOUT, Optional.empty());
     }
 
     /**
-     * Waits until a value has another revision than the one known.
+     * Watches a value: waits until its revision differs from the known one.
      *
-     * @param key its key
-     * @param afterRevision revision known, 0 for none
-     * @param wait longest time to wait
-     * @return as {@link #get}, or {@link StoreReply.Unchanged}
+     * @param key key of the value
+     * @param afterRevision known revision, 0 for none
+     * @param wait maximum time to wait
+     * @return the same replies as {@link #get}, or {@link StoreReply.NotModified}
      */
     public CompletableFuture<StoreReply> watch(String key, long afterRevision, Duration wait) {
         String path = "/v1/values/" + key + "?after=" + afterRevision + "&wait_ms=" + wait.toMillis();
@@ -94,55 +94,59 @@
     }
 
     /**
-     * Writes a value if it has the expected revision.
+     * Writes a value by compare-and-set on its revision.
      *
-     * @param key its key
-     * @param expectedRevision revision it must have, 0 if it must not exist
-     * @param value its new bytes
+     * @param key key of the value
+     * @param expectedRevision revision that the value must have, 0 if it must not exist
+     * @param value the new value
      * @return {@link StoreReply.Written}, {@link StoreReply.Conflict} or {@link StoreReply.Failed}
      */
     public CompletableFuture<StoreReply> put(String key, long expectedRevision, byte[] value) {
-        return call(HttpMethod.PUT, "/v1/values/" + key, CALL_TIMEOUT, Optional.of(new Write(expectedRevision, value)));
+        return call(
+                HttpMethod.PUT,
+                "/v1/values/" + key,
+                CALL_TIMEOUT,
+                Optional.of(new WriteRequest(expectedRevision, value)));
     }
 
     /**
-     * Waits until the platform's list of one zone's VMs has another revision than the one known.
+     * Watches the platform's list of the VMs of a zone: waits until its revision differs from the known one.
      *
      * @param zone the availability zone
-     * @param afterRevision revision known, 0 for none
-     * @param wait longest time to wait
-     * @return the list, or empty if it did not change or the call failed
+     * @param afterRevision known revision, 0 for none
+     * @param wait maximum time to wait
+     * @return the list, or empty if it did not change, the call failed or the reply is malformed
      */
-    public CompletableFuture<Optional<VmList>> vms(String zone, long afterRevision, Duration wait) {
+    public CompletableFuture<Optional<VmList>> watchVmList(String zone, long afterRevision, Duration wait) {
         String path = "/v1/vms/" + zone + "?after=" + afterRevision + "&wait_ms=" + wait.toMillis();
         return call(HttpMethod.GET, path, wait.plus(CALL_TIMEOUT), Optional.empty())
-                .thenApply(StoreClient::vmList);
+                .thenApply(StoreClient::parseVmList);
     }
 
     private CompletableFuture<StoreReply> call(
-            HttpMethod method, String path, Duration timeout, Optional<Write> write) {
+            HttpMethod method, String path, Duration timeout, Optional<WriteRequest> write) {
         CompletableFuture<StoreReply> future = new CompletableFuture<>();
         if (addresses.isEmpty()) {
-            future.complete(new StoreReply.Failed(false, "no address of the store is set"));
+            future.complete(new StoreReply.Failed(false, "no store address is configured"));
             return future;
         }
-        int index = preferred.get();
-        InetSocketAddress a = addresses.get(index % addresses.size());
-        AtomicBoolean begun = new AtomicBoolean();
-        Request request = client.newRequest("http://" + a.getHostString() + ":" + a.getPort() + path)
+        int index = preferredAddressIndex.get();
+        InetSocketAddress address = addresses.get(index % addresses.size());
+        AtomicBoolean requestStarted = new AtomicBoolean();
+        Request request = client.newRequest("http://" + address.getHostString() + ":" + address.getPort() + path)
                 .method(method)
                 .timeout(timeout.toMillis(), TimeUnit.MILLISECONDS)
-                .onRequestBegin(r -> begun.set(true));
+                .onRequestBegin(r -> requestStarted.set(true));
         write.ifPresent(w -> request.headers(h -> h.put(EXPECTED_REVISION, w.expectedRevision()))
                 .body(new BytesRequestContent("application/octet-stream", w.value())));
         request.send(new BufferingResponseListener(MAX_REPLY_BYTES) {
             @Override
             public void onComplete(Result result) {
                 StoreReply reply = result.isFailed()
-                        ? failed(write.isPresent() && begun.get(), result.getFailure())
-                        : reply(write.isPresent(), result, getContent());
+                        ? failedReply(write.isPresent() && requestStarted.get(), result.getFailure())
+                        : toReply(write.isPresent(), result, getContent());
                 if (reply instanceof StoreReply.Failed) {
-                    preferred.compareAndSet(index, index + 1);
+                    preferredAddressIndex.compareAndSet(index, index + 1);
                 }
                 future.complete(reply);
             }
@@ -150,12 +154,12 @@
         return future;
     }
 
-    private static StoreReply failed(boolean sentWrite, Throwable cause) {
-        boolean mayHaveTakenEffect = sentWrite && !(cause instanceof ConnectException);
+    private static StoreReply failedReply(boolean isWriteSent, Throwable cause) {
+        boolean mayHaveTakenEffect = isWriteSent && !(cause instanceof ConnectException);
         return new StoreReply.Failed(mayHaveTakenEffect, String.valueOf(cause));
     }
 
-    private static StoreReply reply(boolean isWrite, Result result, byte[] content) {
+    private static StoreReply toReply(boolean isWrite, Result result, byte[] content) {
         int status = result.getResponse().getStatus();
         long revision = Math.max(0, result.getResponse().getHeaders().getLongField(REVISION));
         return switch (status) {
@@ -163,15 +167,15 @@
                 isWrite
                         ? new StoreReply.Written(revision)
                         : new StoreReply.Value(revision, content == null ? new byte[0] : content);
-            case NOT_MODIFIED -> new StoreReply.Unchanged();
-            case NOT_FOUND -> new StoreReply.Missing();
+            case NOT_MODIFIED -> new StoreReply.NotModified();
+            case NOT_FOUND -> new StoreReply.NotFound();
             case CONFLICT -> new StoreReply.Conflict();
-            case TOO_MANY, TOO_LARGE -> new StoreReply.Failed(false, "status " + status);
+            case TOO_MANY_REQUESTS, CONTENT_TOO_LARGE -> new StoreReply.Failed(false, "status " + status);
             default -> new StoreReply.Failed(isWrite, "status " + status);
         };
     }
 
-    private static Optional<VmList> vmList(StoreReply reply) {
+    private static Optional<VmList> parseVmList(StoreReply reply) {
         if (!(reply instanceof StoreReply.Value v)) {
             return Optional.empty();
         }
@@ -194,18 +198,18 @@
     }
 
     /**
-     * One copy of the platform's list for a zone. Immutable.
+     * A revision of the platform's list of the VMs of a zone. Immutable.
      *
-     * @param revision its revision
+     * @param revision revision of the list
      * @param vms the VMs of the zone
      */
     public record VmList(long revision, List<ListedVm> vms) {
 
-        /** Copies the list. */
+        /** Creates a list with an unmodifiable copy of the VMs. */
         public VmList {
             vms = List.copyOf(vms);
         }
     }
 
-    private record Write(long expectedRevision, byte[] value) {}
+    private record WriteRequest(long expectedRevision, byte[] value) {}
 }
--- a/store/src/main/java/org/citrontide/store/configuration/ConfigurationService.java
+++ b/store/src/main/java/org/citrontide/store/configuration/ConfigurationService.java
@@ -23,117 +23,121 @@
 import org.citrontide.wire.link.Link;
 
 /**
- * Runs the spread controller of this process on a thread of its own.
+ * Runs the configuration sync controller of this process on its own event loop.
  *
- * <p>Invariant: what {@link #inForce()} returns never goes to a lower version. Safe for use by many threads.
+ * <p>Invariant: the version of {@link #inForce()} never decreases. Thread-safe.
  */
 public final class ConfigurationService implements AutoCloseable {
     private static final EventLog LOG = EventLog.of(ConfigurationService.class);
-    private static final int RING = 4096;
-    private static final Duration TICK = Duration.ofMillis(200);
-    private static final Duration NEVER = Duration.ofDays(1);
-    private static final long NEWS_NANOS = Duration.ofSeconds(1).toNanos();
+    private static final int QUEUE_CAPACITY = 4096;
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(200);
+    private static final Duration NEVER_CONFIRMED_AGE = Duration.ofDays(1);
+    private static final long MIN_CONFIRMATION_ADVANCE_NANOS =
+            Duration.ofSeconds(1).toNanos();
 
     private final Clock clock;
     private final ConfigurationSyncController controller;
-    private final StoredConfiguration stored;
-    private final EventLoop<ConfigurationSyncEvent> duty;
+    private final StoreConfigurationReader storeReader;
+    private final EventLoop<ConfigurationSyncEvent> eventLoop;
     private final Map<Long, Link> links = new ConcurrentHashMap<>();
-    private final Consumer<Configuration> installed;
+    private final Consumer<Configuration> installListener;
     private volatile Configuration inForce = Configuration.NONE;
-    private volatile Optional<Long> confirmedNanos = Optional.empty();
-    private volatile boolean watcher;
+    private volatile Optional<Long> lastConfirmedNanos = Optional.empty();
+    private volatile boolean watchesStore;
     private Head lastHead = Head.EMPTY;
     private long nextTickNanos;
 
     /**
-     * Prepares the service; {@link #start()} starts it.
+     * Creates the service; {@link #start()} starts it.
      *
-     * @param stored reader of the platform's service
-     * @param clock source of time
-     * @param random source of jitter
-     * @param installed told of each configuration put in force, on the service's thread
+     * @param storeReader reads the configuration from the platform's key-value service
+     * @param clock monotonic clock
+     * @param random random source for jitter
+     * @param installListener called on the event loop with each configuration put in force
      */
     public ConfigurationService(
-            StoredConfiguration stored, Clock clock, RandomGenerator random, Consumer<Configuration> installed) {
-        this.stored = stored;
+            StoreConfigurationReader storeReader,
+            Clock clock,
+            RandomGenerator random,
+            Consumer<Configuration> installListener) {
+        this.storeReader = storeReader;
         this.clock = clock;
         this.controller = new ConfigurationSyncController(random);
-        this.installed = installed;
-        this.duty = new EventLoop<>("configuration", RING, new ConfigurationSyncHandler());
+        this.installListener = installListener;
+        this.eventLoop = new EventLoop<>("configuration", QUEUE_CAPACITY, new ConfigurationSyncHandler());
     }
 
-    /** Starts the thread. */
+    /** Starts the event loop. */
     public void start() {
-        duty.start();
+        eventLoop.start();
     }
 
     /**
      * Returns the configuration in force.
      *
-     * @return the configuration, {@link Configuration#NONE} before the first
+     * @return the configuration, or {@link Configuration#NONE} before the first one is installed
      */
     public Configuration inForce() {
         return inForce;
     }
 
     /**
-     * Sets whether this process watches the platform's service for its zone.
+     * Sets whether this process watches the platform's key-value service on behalf of its zone.
      *
-     * @param isWatcher true for a watcher
+     * @param isWatcher whether this process is a watcher
      */
     public void setWatcher(boolean isWatcher) {
-        watcher = isWatcher;
+        watchesStore = isWatcher;
     }
 
     /**
      * Builds the next heartbeat.
      *
-     * @return version in force and the time since the platform confirmed it
+     * @return a heartbeat with the version in force and the time since the platform confirmed it, if it has
      */
     public Heartbeat buildHeartbeat() {
         Heartbeat.Builder b = Heartbeat.newBuilder().setConfigurationVersion(inForce.version());
-        confirmedNanos.ifPresent(t -> b.setConfigurationAgeMs(
+        lastConfirmedNanos.ifPresent(t -> b.setConfigurationAgeMs(
                 Duration.ofNanos(Math.max(0, clock.nanos() - t)).toMillis()));
         return b.build();
     }
 
     /**
-     * Learns of a link.
+     * Registers a new link.
      *
-     * @param link the link
+     * @param link the new link
      */
     public void linkUp(Link link) {
         links.put(link.id(), link);
     }
 
     /**
-     * Learns of the end of a link.
+     * Unregisters a closed link.
      *
-     * @param link the link
+     * @param link the closed link
      */
     public void linkDown(Link link) {
         links.remove(link.id());
-        duty.offer(new ConfigurationSyncEvent.PeerDisconnected(link.id()));
+        eventLoop.offer(new ConfigurationSyncEvent.PeerDisconnected(link.id()));
     }
 
     /**
-     * Takes a frame that concerns the configuration.
+     * Handles a frame that concerns the configuration.
      *
-     * @param link link that it came from
-     * @param frame the frame
-     * @return false if the frame concerns something else
+     * @param link the link that the frame arrived on
+     * @param frame the received frame
+     * @return true if the frame was handled, false if it does not concern the configuration
      */
     public boolean handleFrame(Link link, Frame frame) {
         switch (frame.getBodyCase()) {
-            case HEARTBEAT -> heartbeatReceived(link, frame.getHeartbeat());
+            case HEARTBEAT -> handleHeartbeat(link, frame.getHeartbeat());
             case CONFIGURATION_REQUEST ->
                 link.send(Frame.newBuilder()
                         .setConfigurationBundle(ConfigurationCodec.encodeBundle(
                                 inForce, frame.getConfigurationRequest().getHaveVersion()))
                         .build());
             case CONFIGURATION_BUNDLE ->
-                duty.offer(ConfigurationCodec.decodeBundle(link.id(), frame.getConfigurationBundle()));
+                eventLoop.offer(ConfigurationCodec.decodeBundle(link.id(), frame.getConfigurationBundle()));
             default -> {
                 return false;
             }
@@ -143,31 +147,33 @@
 
     @Override
     public void close() {
-        duty.close();
+        eventLoop.close();
     }
 
-    private void heartbeatReceived(Link link, Heartbeat h) {
-        Duration age = h.hasConfigurationAgeMs() ? Duration.ofMillis(h.getConfigurationAgeMs()) : NEVER;
-        if (isNews(h.getConfigurationVersion(), age)) {
-            duty.offer(new ConfigurationSyncEvent.PeerDigest(link.id(), h.getConfigurationVersion(), age));
+    private void handleHeartbeat(Link link, Heartbeat h) {
+        Duration age = h.hasConfigurationAgeMs() ? Duration.ofMillis(h.getConfigurationAgeMs()) : NEVER_CONFIRMED_AGE;
+        if (isNewInformation(h.getConfigurationVersion(), age)) {
+            eventLoop.offer(new ConfigurationSyncEvent.PeerDigest(link.id(), h.getConfigurationVersion(), age));
         }
     }
 
-    /** Most digests say what is known already; they need not wake the thread. */
-    private boolean isNews(long version, Duration age) {
+    /** Returns whether a digest adds information; most don't, and are dropped to avoid waking the event loop. */
+    private boolean isNewInformation(long version, Duration age) {
         long own = inForce.version();
         if (version != own) {
             return version > own;
         }
         long confirmed = clock.nanos() - age.toNanos();
-        return confirmedNanos.map(t -> confirmed - t > NEWS_NANOS).orElse(age.compareTo(NEVER) < 0);
+        return lastConfirmedNanos
+                .map(t -> confirmed - t > MIN_CONFIRMATION_ADVANCE_NANOS)
+                .orElse(age.compareTo(NEVER_CONFIRMED_AGE) < 0);
     }
 
-    private void perform(ConfigurationSyncAction action) {
+    private void execute(ConfigurationSyncAction action) {
         switch (action) {
             case ConfigurationSyncAction.RequestFiles a -> requestFiles(a);
             case ConfigurationSyncAction.ReadStore a ->
-                stored.read(a.watch(), lastHead, inForce.version()).thenAccept(duty::put);
+                storeReader.read(a.watch(), lastHead, inForce.version()).thenAccept(eventLoop::put);
             case ConfigurationSyncAction.InstallConfiguration i -> install(i.configuration());
             case ConfigurationSyncAction.ReportStoreRegression a ->
                 LOG.warn("store-went-back")
@@ -198,7 +204,7 @@
                 .with("version", c.version())
                 .with("services", c.services().size())
                 .write();
-        installed.accept(c);
+        installListener.accept(c);
     }
 
     private final class ConfigurationSyncHandler implements EventLoop.Handler<ConfigurationSyncEvent> {
@@ -207,15 +213,15 @@
             if (event instanceof ConfigurationSyncEvent.StoreHead h) {
                 lastHead = h.head();
             }
-            step(event);
+            runController(event);
         }
 
         @Override
         public void runDueTasks() {
             long now = clock.nanos();
             if (now >= nextTickNanos) {
-                nextTickNanos = now + TICK.toNanos();
-                step(new ConfigurationSyncEvent.Tick(watcher));
+                nextTickNanos = now + TICK_INTERVAL.toNanos();
+                runController(new ConfigurationSyncEvent.Tick(watchesStore));
             }
         }
 
@@ -224,11 +230,11 @@
             return nextTickNanos - clock.nanos();
         }
 
-        private void step(ConfigurationSyncEvent event) {
+        private void runController(ConfigurationSyncEvent event) {
             long now = clock.nanos();
             List<ConfigurationSyncAction> actions = controller.on(event, now);
-            confirmedNanos = controller.confirmationAge(now).map(a -> now - a.toNanos());
-            actions.forEach(ConfigurationService.this::perform);
+            lastConfirmedNanos = controller.confirmationAge(now).map(a -> now - a.toNanos());
+            actions.forEach(ConfigurationService.this::execute);
         }
     }
 }
--- a/store/src/main/java/org/citrontide/store/configuration/StoredConfiguration.java
+++ b/store/src/main/java/org/citrontide/store/configuration/StoreConfigurationReader.java
@@ -16,54 +16,54 @@
 import org.citrontide.store.client.StoreReply;
 import org.citrontide.wire.codec.ConfigurationCodec;
 
-/** Reads the head and the files that it names from the platform's service. Safe for use by many threads. */
-public final class StoredConfiguration {
-    /** Key of the head. */
+/** Reads the configuration head and the files that it lists from the platform's key-value service. Thread-safe. */
+public final class StoreConfigurationReader {
+    /** Key of the configuration head. */
     public static final String HEAD_KEY = "configuration/head";
 
-    /** Prefix of the keys of files' contents; their hash follows. */
+    /** Prefix of the keys of file contents; the hash of the content follows it. */
     public static final String FILE_PREFIX = "configuration/files/";
 
-    private static final Duration WATCH_WAIT = Duration.ofSeconds(2);
+    private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(2);
 
     private final StoreClient store;
-    private final AtomicLong lastRevision = new AtomicLong();
+    private final AtomicLong lastHeadRevision = new AtomicLong();
 
     /**
-     * Makes a reader.
+     * Creates a reader.
      *
-     * @param store client of the platform's service
+     * @param store client of the platform's key-value service
      */
-    public StoredConfiguration(StoreClient store) {
+    public StoreConfigurationReader(StoreClient store) {
         this.store = store;
     }
 
     /**
-     * Reads the head and the contents newer than a version.
+     * Reads the head and the contents of the files newer than a version.
      *
-     * @param watch whether to wait for a head other than the last one read
-     * @param known the head last read, returned again if a watch saw no change
-     * @param haveVersion version in force here
-     * @return the event for the spread controller
+     * @param watch whether to wait for a head that differs from the last one read
+     * @param known the last head read; reported again if the watch sees no change
+     * @param haveVersion version in force in this process
+     * @return the event for the configuration sync controller
      */
     public CompletableFuture<ConfigurationSyncEvent> read(boolean watch, Head known, long haveVersion) {
-        long after = lastRevision.get();
+        long after = lastHeadRevision.get();
         boolean wait = watch && after > 0 && known.version() == haveVersion;
-        CompletableFuture<StoreReply> reply = wait ? store.watch(HEAD_KEY, after, WATCH_WAIT) : store.get(HEAD_KEY);
+        CompletableFuture<StoreReply> reply = wait ? store.watch(HEAD_KEY, after, WATCH_TIMEOUT) : store.get(HEAD_KEY);
         return reply.thenCompose(r -> switch (r) {
-            case StoreReply.Value v -> withFiles(v, haveVersion);
-            case StoreReply.Unchanged u -> done(new ConfigurationSyncEvent.StoreHead(known, Map.of()));
-            case StoreReply.Missing m -> done(new ConfigurationSyncEvent.StoreHead(Head.EMPTY, Map.of()));
-            default -> done(new ConfigurationSyncEvent.StoreFailed());
+            case StoreReply.Value v -> readFiles(v, haveVersion);
+            case StoreReply.NotModified u -> completed(new ConfigurationSyncEvent.StoreHead(known, Map.of()));
+            case StoreReply.NotFound m -> completed(new ConfigurationSyncEvent.StoreHead(Head.EMPTY, Map.of()));
+            default -> completed(new ConfigurationSyncEvent.StoreFailed());
         });
     }
 
-    private CompletableFuture<ConfigurationSyncEvent> withFiles(StoreReply.Value value, long haveVersion) {
+    private CompletableFuture<ConfigurationSyncEvent> readFiles(StoreReply.Value value, long haveVersion) {
         Head head;
         try {
             head = ConfigurationCodec.decodeHead(value.value());
         } catch (InvalidProtocolBufferException e) {
-            return done(new ConfigurationSyncEvent.StoreFailed());
+            return completed(new ConfigurationSyncEvent.StoreFailed());
         }
         List<String> hashes = head.files().values().stream()
                 .filter(f -> f.version() > haveVersion)
@@ -72,7 +72,7 @@
                 .toList();
         List<CompletableFuture<StoreReply>> reads = new ArrayList<>();
         hashes.forEach(h -> reads.add(store.get(FILE_PREFIX + h)));
-        return CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new)).thenApply(done -> {
+        return CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new)).thenApply(ignored -> {
             Map<String, String> texts = new HashMap<>();
             for (int i = 0; i < hashes.size(); i++) {
                 if (!(reads.get(i).join() instanceof StoreReply.Value v)) {
@@ -80,12 +80,12 @@
                 }
                 texts.put(hashes.get(i), new String(v.value(), StandardCharsets.UTF_8));
             }
-            lastRevision.set(value.revision());
+            lastHeadRevision.set(value.revision());
             return new ConfigurationSyncEvent.StoreHead(head, texts);
         });
     }
 
-    private static CompletableFuture<ConfigurationSyncEvent> done(ConfigurationSyncEvent event) {
+    private static CompletableFuture<ConfigurationSyncEvent> completed(ConfigurationSyncEvent event) {
         return CompletableFuture.completedFuture(event);
     }
 }
--- a/store/src/main/java/org/citrontide/store/links/ProcessLinks.java
+++ b/store/src/main/java/org/citrontide/store/links/ProcessLinkListener.java
@@ -10,25 +10,25 @@
 import org.citrontide.wire.link.LinkListener;
 
 /**
- * Hands what happens on the links of a process to its configuration and to its role. Safe for use by many threads.
+ * Forwards the events of the links of a process to its configuration service and to its role. Thread-safe.
  */
-public final class ProcessLinks implements LinkListener {
+public final class ProcessLinkListener implements LinkListener {
     private static final int LOG_LINES_PER_SECOND = 10;
-    private static final EventLog LOG = EventLog.of(ProcessLinks.class);
+    private static final EventLog LOG = EventLog.of(ProcessLinkListener.class);
 
-    private final LogRateLimiter logBudget = new LogRateLimiter(LOG_LINES_PER_SECOND);
+    private final LogRateLimiter logRateLimiter = new LogRateLimiter(LOG_LINES_PER_SECOND);
     private final ConfigurationService configuration;
-    private final RoleLinks role;
+    private final RoleLinkListener roleListener;
 
     /**
-     * Joins the two.
+     * Creates a listener.
      *
-     * @param configuration takes heartbeats and configurations
-     * @param role takes all other frames
+     * @param configuration handles heartbeats and configuration frames
+     * @param roleListener handles all other frames
      */
-    public ProcessLinks(ConfigurationService configuration, RoleLinks role) {
+    public ProcessLinkListener(ConfigurationService configuration, RoleLinkListener roleListener) {
         this.configuration = configuration;
-        this.role = role;
+        this.roleListener = roleListener;
     }
 
     @Override
@@ -39,13 +39,13 @@
                 .with("address", link.remoteAddress())
                 .write();
         configuration.linkUp(link);
-        role.linkUp(link);
+        roleListener.linkUp(link);
     }
 
     @Override
     public void frameReceived(Link link, Frame frame) {
         if (!configuration.handleFrame(link, frame)) {
-            role.frameReceived(link, frame);
+            roleListener.frameReceived(link, frame);
         }
     }
 
@@ -56,18 +56,18 @@
                 .with("address", link.remoteAddress())
                 .write();
         configuration.linkDown(link);
-        role.linkDown(link);
+        roleListener.linkDown(link);
     }
 
     @Override
     public void connectionRejected(String address, LinkFault fault) {
-        if (!logBudget.tryAcquire(System.nanoTime())) {
+        if (!logRateLimiter.tryAcquire(System.nanoTime())) {
             return;
         }
         LOG.warn("link-rejected")
                 .with("address", address)
                 .with("fault", fault.key())
-                .with("suppressed", logBudget.getAndResetSuppressed())
+                .with("suppressed", logRateLimiter.getAndResetSuppressed())
                 .write();
     }
 
@@ -76,28 +76,28 @@
         return configuration.buildHeartbeat();
     }
 
-    /** What a role does with its links. Called on event loops; must not block. */
-    public interface RoleLinks {
+    /** Receives the link events of a role. Called on event loops; implementations must not block. */
+    public interface RoleLinkListener {
 
         /**
-         * A link is up.
+         * Called when a link has been authenticated.
          *
-         * @param link the link
+         * @param link the new link
          */
         void linkUp(Link link);
 
         /**
-         * A frame arrived that does not concern the configuration.
+         * Called when a frame arrives that does not concern the configuration.
          *
-         * @param link the link
-         * @param frame the frame
+         * @param link the link that the frame arrived on
+         * @param frame the received frame
          */
         void frameReceived(Link link, Frame frame);
 
         /**
-         * A link has ended.
+         * Called when a link has closed.
          *
-         * @param link the link
+         * @param link the closed link
          */
         void linkDown(Link link);
     }
