--- a/cli/src/main/java/org/citrontide/cli/CheckCommand.java
+++ b/cli/src/main/java/org/citrontide/cli/CheckCommand.java
@@ -7,7 +7,7 @@
 import org.citrontide.core.publication.Configuration;
 import org.citrontide.core.toml.ValidationResult;
 
-/** The command {@code check}. */
+/** The command {@code check}: validates service files. */
 final class CheckCommand implements Command {
     @Override
     public String name() {
@@ -32,12 +32,12 @@
     @Override
     public ExitCode run(CommandLine line) throws IOException, UsageException {
         if (line.getArgList().size() != 1) {
-            throw new UsageException("one directory is needed");
+            throw new UsageException("expected one directory");
         }
         ValidationResult<Configuration> checked =
-                Files.check(Files.directory(line.getArgList().getFirst()));
+                InputFiles.validate(InputFiles.readDirectory(line.getArgList().getFirst()));
         if (checked.value().isEmpty()) {
-            Files.print(checked.violations());
+            InputFiles.printViolations(checked.violations());
             return ExitCode.REFUSED;
         }
         System.out.println("valid: " + checked.value().get().services().size() + " services");
--- a/cli/src/main/java/org/citrontide/cli/Citrontide.java
+++ b/cli/src/main/java/org/citrontide/cli/Citrontide.java
@@ -12,7 +12,7 @@
 import org.apache.commons.cli.ParseException;
 import org.apache.commons.cli.help.HelpFormatter;
 
-/** The command line: finds the command and turns its outcome into an exit code. */
+/** Entry point of the command line: dispatches to a command and exits with its exit code. */
 public final class Citrontide {
     private static final String VERSION = "citrontide 0.1.0";
     private static final List<Command> COMMANDS = List.of(
@@ -27,9 +27,9 @@
     private Citrontide() {}
 
     /**
-     * Runs one command and exits with its code, unless it is a daemon.
+     * Runs a command and exits with its exit code, unless the command is a daemon that has started.
      *
-     * @param args the command, its options and operands
+     * @param args the name of the command, its options and operands
      */
     public static void main(String[] args) {
         ExitCode code = run(args);
@@ -109,9 +109,9 @@
         for (Command c : COMMANDS) {
             out.printf("  %-28s %s%n", c.name() + " " + c.operands(), c.summary());
         }
-        out.printf("  %-28s %s%n", "fake store|engine|service", "Runs a stand-in for tests and the demo.");
-        out.printf("  %-28s %s%n", "demo", "Runs a small deployment, sends requests and prints what became of them.");
-        out.println("citrontide COMMAND --help tells more. Exit codes: 0 done, 1 refused or conflict, 2 usage,"
+        out.printf("  %-28s %s%n", "fake store|engine|service", "Runs a fake for tests and the demo.");
+        out.printf("  %-28s %s%n", "demo", "Runs a small deployment, sends requests and prints their results.");
+        out.println("Run citrontide COMMAND --help for details. Exit codes: 0 done, 1 refused or conflict, 2 usage,"
                 + " 3 unreachable.");
     }
 }
--- a/cli/src/main/java/org/citrontide/cli/DaemonCommand.java
+++ b/cli/src/main/java/org/citrontide/cli/DaemonCommand.java
@@ -15,24 +15,27 @@
 import org.citrontide.sidecar.daemon.SidecarSettings;
 
 /**
- * The commands {@code entry}, {@code sidecar} and {@code gateway}, which go on until the process is told to stop.
+ * The commands {@code entry}, {@code sidecar} and {@code gateway}, which run until the process receives a termination
+ * signal.
  *
- * @param name word that names the command, and role of the process
- * @param summary one sentence for the help text
- * @param starter reads the settings and starts the daemon
+ * @param name name of the command and role of the process
+ * @param summary one-sentence summary for the help text
+ * @param starter parses the settings and starts the daemon
  */
-record DaemonCommand(String name, String summary, Starter starter) implements Command {
-    static final DaemonCommand ENTRY =
-            new DaemonCommand("entry", "Runs an entry: takes callers' requests and routes them.", DaemonCommand::entry);
-    static final DaemonCommand SIDECAR =
-            new DaemonCommand("sidecar", "Runs a sidecar: the gate before one upstream.", DaemonCommand::sidecar);
+record DaemonCommand(String name, String summary, DaemonStarter starter) implements Command {
+    static final DaemonCommand ENTRY = new DaemonCommand(
+            "entry",
+            "Runs an entry: accepts callers' requests and routes them to upstreams.",
+            DaemonCommand::startEntry);
+    static final DaemonCommand SIDECAR = new DaemonCommand(
+            "sidecar", "Runs a sidecar: controls admission to one upstream.", DaemonCommand::startSidecar);
     static final DaemonCommand GATEWAY = new DaemonCommand(
             "gateway",
-            "Runs a gateway: takes callers' requests and sends them to upstreams over HTTP.",
-            DaemonCommand::gateway);
+            "Runs a gateway: accepts callers' requests and forwards them to upstreams over HTTP.",
+            DaemonCommand::startGateway);
 
-    /** Reads settings and starts a daemon. */
-    interface Starter {
+    /** Parses settings and starts a daemon. */
+    interface DaemonStarter {
         ExitCode start(String file, String text) throws IOException;
     }
 
@@ -49,49 +52,49 @@
     @Override
     public ExitCode run(CommandLine line) throws IOException, UsageException {
         if (line.getArgList().size() != 1) {
-            throw new UsageException("one settings file is needed");
+            throw new UsageException("expected one settings file");
         }
         String file = line.getArgList().getFirst();
-        return starter.start(file, Files.settings(file));
+        return starter.start(file, InputFiles.readSettings(file));
     }
 
-    private static ExitCode entry(String file, String text) throws IOException {
+    private static ExitCode startEntry(String file, String text) throws IOException {
         ValidationResult<EntrySettings> checked = EntrySettings.parse(file, text);
         if (checked.value().isEmpty()) {
-            Files.print(checked.violations());
+            InputFiles.printViolations(checked.violations());
             return ExitCode.USAGE;
         }
         EntrySettings settings = checked.value().get();
-        prepareLog(ENTRY, settings.process());
+        installLogging(ENTRY, settings.process());
         EntryDaemon daemon = new EntryDaemon(settings, new SecureRandom().nextLong());
-        stopOnSignal(daemon::stop);
+        registerShutdownHook(daemon::stop);
         daemon.start();
         return ExitCode.DONE;
     }
 
-    private static ExitCode sidecar(String file, String text) throws IOException {
+    private static ExitCode startSidecar(String file, String text) throws IOException {
         ValidationResult<SidecarSettings> checked = SidecarSettings.parse(file, text);
         if (checked.value().isEmpty()) {
-            Files.print(checked.violations());
+            InputFiles.printViolations(checked.violations());
             return ExitCode.USAGE;
         }
         SidecarSettings settings = checked.value().get();
-        prepareLog(SIDECAR, settings.process());
+        installLogging(SIDECAR, settings.process());
         SidecarDaemon daemon = new SidecarDaemon(settings, new SecureRandom().nextLong());
-        stopOnSignal(daemon::stop);
+        registerShutdownHook(daemon::stop);
         daemon.start();
         return ExitCode.DONE;
     }
 
-    private static ExitCode gateway(String file, String text) throws IOException {
+    private static ExitCode startGateway(String file, String text) throws IOException {
         return GatewayMain.start(file) ? ExitCode.DONE : ExitCode.USAGE;
     }
 
-    private static void prepareLog(DaemonCommand role, ProcessSettings process) {
+    private static void installLogging(DaemonCommand role, ProcessSettings process) {
         LogSetup.install(role.name(), process.vm(), process.zone());
     }
 
-    private static void stopOnSignal(Runnable stop) {
+    private static void registerShutdownHook(Runnable stop) {
         Runnable stopAndFlush = () -> {
             stop.run();
             LogSetup.flush();
--- a/cli/src/main/java/org/citrontide/cli/ExitCode.java
+++ b/cli/src/main/java/org/citrontide/cli/ExitCode.java
@@ -1,14 +1,14 @@
 package org.citrontide.cli;
 
-/** What the exit code of a command says. Immutable. */
+/** The exit codes of the commands. Immutable. */
 enum ExitCode {
-    /** The command did what was asked. */
+    /** The command succeeded. */
     DONE(0),
-    /** A file is not valid, or another publication was first. */
+    /** A file is invalid, or a concurrent publication conflicts. */
     REFUSED(1),
-    /** The words of the command or a settings file are wrong. */
+    /** The command line or a settings file is invalid. */
     USAGE(2),
-    /** The platform's service or a process did not answer. */
+    /** The platform's key-value service or a process did not answer. */
     UNREACHABLE(3);
 
     private final int number;
--- a/cli/src/main/java/org/citrontide/cli/PublishCommand.java
+++ b/cli/src/main/java/org/citrontide/cli/PublishCommand.java
@@ -24,9 +24,9 @@
 import org.citrontide.store.configuration.StoreConfigurationReader;
 import org.citrontide.wire.codec.ConfigurationCodec;
 
-/** The command {@code publish}. */
+/** The command {@code publish}: publishes service files to the platform's key-value service. */
 final class PublishCommand implements Command {
-    private static final String REMOVE = "remove";
+    private static final String REMOVE_OPTION = "remove";
 
     @Override
     public String name() {
@@ -40,32 +40,33 @@
 
     @Override
     public String summary() {
-        return "Puts the service files in a directory in force.";
+        return "Publishes the service files in a directory.";
     }
 
     @Override
     public Options options() {
-        return Stores.options().addOption(null, REMOVE, true, "name of a file to take out of force");
+        return StoreOptions.options()
+                .addOption(null, REMOVE_OPTION, true, "name of a file to remove from the configuration in force");
     }
 
     @Override
     public ExitCode run(CommandLine line) throws IOException, UsageException {
         if (line.getArgList().size() != 1) {
-            throw new UsageException("one directory is needed");
+            throw new UsageException("expected one directory");
         }
-        Map<String, String> texts = Files.directory(line.getArgList().getFirst());
-        ValidationResult<Configuration> checked = Files.check(texts);
+        Map<String, String> texts = InputFiles.readDirectory(line.getArgList().getFirst());
+        ValidationResult<Configuration> checked = InputFiles.validate(texts);
         if (checked.value().isEmpty()) {
-            Files.print(checked.violations());
+            InputFiles.printViolations(checked.violations());
             return ExitCode.REFUSED;
         }
         Map<String, Optional<String>> changes = new HashMap<>();
         texts.forEach((name, text) -> changes.put(name, Optional.of(text)));
-        if (line.hasOption(REMOVE)) {
-            changes.put(line.getOptionValue(REMOVE), Optional.empty());
+        if (line.hasOption(REMOVE_OPTION)) {
+            changes.put(line.getOptionValue(REMOVE_OPTION), Optional.empty());
         }
         String id = UUID.randomUUID().toString();
-        return report(id, publish(Stores.connect(line), new PublicationStateMachine(id, changes)));
+        return report(id, publish(StoreOptions.connect(line), new PublicationStateMachine(id, changes)));
     }
 
     private static PublicationResult publish(StoreClient store, PublicationStateMachine machine) {
@@ -74,21 +75,21 @@
             if (action instanceof PublicationAction.Finish f) {
                 return f.result();
             }
-            action = machine.on(perform(store, action));
+            action = machine.on(execute(store, action));
         }
     }
 
-    private static PublicationEvent perform(StoreClient store, PublicationAction action) {
+    private static PublicationEvent execute(StoreClient store, PublicationAction action) {
         return switch (action) {
             case PublicationAction.ReadHead r -> {
-                pause(r.delay());
-                yield headRead(store.get(StoreConfigurationReader.HEAD_KEY).join());
+                sleep(r.delay());
+                yield toHeadRead(store.get(StoreConfigurationReader.HEAD_KEY).join());
             }
             case PublicationAction.ReadFile r ->
                 store.get(StoreConfigurationReader.FILE_PREFIX + r.hash()).join() instanceof StoreReply.Value v
                         ? new PublicationEvent.FileRead(r.hash(), new String(v.value(), StandardCharsets.UTF_8))
                         : new PublicationEvent.CallFailed(false);
-            case PublicationAction.WriteFile w -> fileWritten(store, w);
+            case PublicationAction.WriteFile w -> writeFile(store, w);
             case PublicationAction.WriteHead w ->
                 switch (store.put(
                                 StoreConfigurationReader.HEAD_KEY,
@@ -100,20 +101,22 @@
                     case StoreReply.Failed f -> new PublicationEvent.CallFailed(f.mayHaveTakenEffect());
                     default -> new PublicationEvent.CallFailed(true);
                 };
-            case PublicationAction.Finish f -> throw new IllegalStateException("finished");
+            case PublicationAction.Finish f -> throw new IllegalStateException("publication has already finished");
         };
     }
 
-    /** A conflict means that the same content is there already, for its key is its hash. */
-    private static PublicationEvent fileWritten(StoreClient store, PublicationAction.WriteFile w) {
+    /**
+     * Writes a file. A conflict means that the same content is already stored, because the key is the content's hash.
+     */
+    private static PublicationEvent writeFile(StoreClient store, PublicationAction.WriteFile w) {
         byte[] bytes = w.text().getBytes(StandardCharsets.UTF_8);
         StoreReply reply = store.put(StoreConfigurationReader.FILE_PREFIX + w.hash(), 0, bytes)
                 .join();
-        boolean there = reply instanceof StoreReply.Written || reply instanceof StoreReply.Conflict;
-        return there ? new PublicationEvent.FileWritten(w.hash()) : new PublicationEvent.CallFailed(false);
+        boolean isStored = reply instanceof StoreReply.Written || reply instanceof StoreReply.Conflict;
+        return isStored ? new PublicationEvent.FileWritten(w.hash()) : new PublicationEvent.CallFailed(false);
     }
 
-    private static PublicationEvent headRead(StoreReply reply) {
+    private static PublicationEvent toHeadRead(StoreReply reply) {
         return switch (reply) {
             case StoreReply.NotFound m -> new PublicationEvent.HeadRead(0, Head.EMPTY);
             case StoreReply.Value v -> {
@@ -143,8 +146,8 @@
                 yield ExitCode.REFUSED;
             }
             case PublicationResult.Invalid i -> {
-                Files.print(i.violations());
-                System.err.println("not valid together with the files in force; nothing was changed");
+                InputFiles.printViolations(i.violations());
+                System.err.println("invalid together with the files in force; nothing was changed");
                 yield ExitCode.REFUSED;
             }
             case PublicationResult.Unreachable u -> {
@@ -157,7 +160,7 @@
         };
     }
 
-    private static void pause(Duration d) {
+    private static void sleep(Duration d) {
         try {
             TimeUnit.NANOSECONDS.sleep(d.toNanos());
         } catch (InterruptedException e) {
--- a/cli/src/main/java/org/citrontide/cli/StatusCommand.java
+++ b/cli/src/main/java/org/citrontide/cli/StatusCommand.java
@@ -22,12 +22,12 @@
 import org.citrontide.wire.link.LinkFault;
 import org.citrontide.wire.link.LinkListener;
 
-/** The command {@code status}. */
+/** The command {@code status}: reports the configuration version of each reachable process. */
 final class StatusCommand implements Command {
-    private static final String KEY_FILE = "link-key-file";
-    private static final String ZONES = "zones";
-    private static final String LINKS = "links";
-    private static final long PATIENCE_MS = 3000;
+    private static final String KEY_FILE_OPTION = "link-key-file";
+    private static final String ZONES_OPTION = "zones";
+    private static final String LINKS_OPTION = "links";
+    private static final long ANSWER_TIMEOUT_MS = 3000;
 
     @Override
     public String name() {
@@ -41,48 +41,49 @@
 
     @Override
     public String summary() {
-        return "Shows which configuration each reachable process has in force, and how fresh its knowledge is.";
+        return "Shows which configuration each reachable process has in force, and when it was last confirmed.";
     }
 
     @Override
     public Options options() {
-        return Stores.options()
-                .addOption(null, KEY_FILE, true, "file with the key that all processes share")
-                .addOption(null, ZONES, true, "availability zones whose lists are asked for, by commas")
-                .addOption(null, LINKS, true, "IP:PORT of processes to ask besides, by commas");
+        return StoreOptions.options()
+                .addOption(null, KEY_FILE_OPTION, true, "file with the key shared by all processes")
+                .addOption(null, ZONES_OPTION, true, "availability zones whose VM lists are queried, comma-separated")
+                .addOption(null, LINKS_OPTION, true, "IP:PORT of additional processes to query, comma-separated");
     }
 
     @Override
     public ExitCode run(CommandLine line) throws IOException, UsageException {
-        if (!line.hasOption(KEY_FILE)) {
-            throw new UsageException("--" + KEY_FILE + " is needed");
+        if (!line.hasOption(KEY_FILE_OPTION)) {
+            throw new UsageException("--" + KEY_FILE_OPTION + " is required");
         }
-        String key = Files.settings(line.getOptionValue(KEY_FILE)).strip();
+        String key =
+                InputFiles.readSettings(line.getOptionValue(KEY_FILE_OPTION)).strip();
         List<InetSocketAddress> targets = targets(line);
         if (targets.isEmpty()) {
-            System.err.println("no process is known");
+            System.err.println("no process to query; check --links, --zones and --store");
             return ExitCode.UNREACHABLE;
         }
-        Answers answers = new Answers(targets.size());
+        HeartbeatCollector collector = new HeartbeatCollector(targets.size());
         ProcessIdentity self =
                 ProcessIdentity.newBuilder().setVm("operator").setRole("status").build();
-        try (LinkEndpoint endpoint = new LinkEndpoint(1, key, self, answers)) {
+        try (LinkEndpoint endpoint = new LinkEndpoint(1, key, self, collector)) {
             targets.forEach(endpoint::dial);
-            answers.await();
+            collector.await();
         }
-        return print(targets, answers);
+        return print(targets, collector);
     }
 
     private static List<InetSocketAddress> targets(CommandLine line) throws IOException, UsageException {
         List<InetSocketAddress> list = new ArrayList<>();
-        if (line.hasOption(LINKS)) {
-            list.addAll(Stores.addresses(line, LINKS));
+        if (line.hasOption(LINKS_OPTION)) {
+            list.addAll(StoreOptions.parseAddresses(line, LINKS_OPTION));
         }
-        if (!line.hasOption(ZONES)) {
+        if (!line.hasOption(ZONES_OPTION)) {
             return list;
         }
-        StoreClient store = Stores.connect(line);
-        for (String zone : line.getOptionValue(ZONES).split(",")) {
+        StoreClient store = StoreOptions.connect(line);
+        for (String zone : line.getOptionValue(ZONES_OPTION).split(",")) {
             List<ListedVm> vms = store.watchVmList(zone, 0, Duration.ZERO)
                     .join()
                     .map(StoreClient.VmList::vms)
@@ -92,49 +93,49 @@
         return list;
     }
 
-    private static ExitCode print(List<InetSocketAddress> targets, Answers answers) {
+    private static ExitCode print(List<InetSocketAddress> targets, HeartbeatCollector collector) {
         System.out.printf("%-22s %-9s %-16s %-14s %9s %9s%n", "address", "role", "vm", "zone", "version", "age ms");
-        boolean all = true;
+        boolean hasAllAnswers = true;
         for (InetSocketAddress a : targets) {
-            Answer x = answers.byAddress.get(a);
-            if (x == null) {
-                System.out.printf("%-22s did not answer%n", text(a));
-                all = false;
+            ProcessHeartbeat answer = collector.byAddress.get(a);
+            if (answer == null) {
+                System.out.printf("%-22s did not answer%n", formatAddress(a));
+                hasAllAnswers = false;
                 continue;
             }
-            String age = x.heartbeat().hasConfigurationAgeMs()
-                    ? Long.toString(x.heartbeat().getConfigurationAgeMs())
+            String age = answer.heartbeat().hasConfigurationAgeMs()
+                    ? Long.toString(answer.heartbeat().getConfigurationAgeMs())
                     : "never";
             System.out.printf(
                     "%-22s %-9s %-16s %-14s %9d %9s%n",
-                    text(a),
-                    x.peer().getRole(),
-                    x.peer().getVm(),
-                    x.peer().getZone(),
-                    x.heartbeat().getConfigurationVersion(),
+                    formatAddress(a),
+                    answer.peer().getRole(),
+                    answer.peer().getVm(),
+                    answer.peer().getZone(),
+                    answer.heartbeat().getConfigurationVersion(),
                     age);
         }
-        return all ? ExitCode.DONE : ExitCode.UNREACHABLE;
+        return hasAllAnswers ? ExitCode.DONE : ExitCode.UNREACHABLE;
     }
 
-    private static String text(InetSocketAddress a) {
+    private static String formatAddress(InetSocketAddress a) {
         return a.getHostString() + ":" + a.getPort();
     }
 
-    private record Answer(ProcessIdentity peer, Heartbeat heartbeat) {}
+    private record ProcessHeartbeat(ProcessIdentity peer, Heartbeat heartbeat) {}
 
-    /** Collects the first heartbeat of each process. Safe for use by many threads. */
-    private static final class Answers implements LinkListener {
-        private final Map<InetSocketAddress, Answer> byAddress = new ConcurrentHashMap<>();
-        private final CountDownLatch missing;
+    /** Collects heartbeats and counts down at the first one of each process. Thread-safe. */
+    private static final class HeartbeatCollector implements LinkListener {
+        private final Map<InetSocketAddress, ProcessHeartbeat> byAddress = new ConcurrentHashMap<>();
+        private final CountDownLatch pendingAnswers;
 
-        private Answers(int count) {
-            missing = new CountDownLatch(count);
+        private HeartbeatCollector(int count) {
+            pendingAnswers = new CountDownLatch(count);
         }
 
         private void await() {
             try {
-                missing.await(PATIENCE_MS, TimeUnit.MILLISECONDS);
+                pendingAnswers.await(ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -142,20 +143,21 @@
 
         @Override
         public void linkUp(Link link) {
-            // The heartbeat that follows says all.
+            // The first heartbeat, which follows, carries the status.
         }
 
         @Override
         public void frameReceived(Link link, Frame frame) {
             if (frame.hasHeartbeat()
-                    && byAddress.put(link.remoteAddress(), new Answer(link.peer(), frame.getHeartbeat())) == null) {
-                missing.countDown();
+                    && byAddress.put(link.remoteAddress(), new ProcessHeartbeat(link.peer(), frame.getHeartbeat()))
+                            == null) {
+                pendingAnswers.countDown();
             }
         }
 
         @Override
         public void linkDown(Link link) {
-            // What was heard stays heard.
+            // A heartbeat that was received remains valid.
         }
 
         @Override
--- a/cli/src/main/java/org/citrontide/cli/Stores.java
+++ b/cli/src/main/java/org/citrontide/cli/StoreOptions.java
@@ -10,21 +10,23 @@
 import org.citrontide.runtime.settings.ProcessSettings;
 import org.citrontide.store.client.StoreClient;
 
-/** Finds the platform's service for a command. Stateless. */
-final class Stores {
-    static final String STORE = "store";
+/** The option that names the platform's key-value service, and parsing of address options. Stateless. */
+final class StoreOptions {
+    static final String STORE_OPTION = "store";
 
-    private Stores() {}
+    private StoreOptions() {}
 
     static Options options() {
-        return new Options().addOption(null, STORE, true, "IP:PORT of the platform's service, several by commas");
+        return new Options()
+                .addOption(
+                        null, STORE_OPTION, true, "IP:PORT of the platform's key-value service; comma-separated list");
     }
 
     static StoreClient connect(CommandLine line) throws IOException, Command.UsageException {
-        return StoreClient.connect(addresses(line, STORE));
+        return StoreClient.connect(parseAddresses(line, STORE_OPTION));
     }
 
-    static List<InetSocketAddress> addresses(CommandLine line, String option) throws Command.UsageException {
+    static List<InetSocketAddress> parseAddresses(CommandLine line, String option) throws Command.UsageException {
         List<InetSocketAddress> list = new ArrayList<>();
         for (String text : line.getOptionValue(option, "").split(",")) {
             list.add(ProcessSettings.parseAddress(text)
--- a/cli/src/main/java/org/citrontide/cli/load/LoadPlan.java
+++ b/cli/src/main/java/org/citrontide/cli/load/LoadPlan.java
@@ -5,20 +5,20 @@
 import java.util.Optional;
 
 /**
- * What a load consists of. Immutable.
+ * Parameters of a load. Immutable.
  *
  * @param label name of the row in the report
- * @param targets addresses, used in turn
+ * @param targets target addresses, used in rotation
  * @param method HTTP method
  * @param path path of the requests
- * @param body body, in which {@code %n} stands for the number of the request
- * @param key idempotency key, in which {@code %n} stands for the number of the request
- * @param tokens teams' tokens, used in turn; an empty one sends no token
- * @param urgency urgency class to ask for
+ * @param body request body; {@code %n} is replaced by the number of the request
+ * @param key idempotency key; {@code %n} is replaced by the number of the request
+ * @param tokens tokens of teams, used in rotation; an empty string sends no token
+ * @param urgency requested urgency class
  * @param timeoutSeconds value of {@code Request-Timeout}
- * @param ratePerSecond requests sent a second, whether or not answers come
- * @param seconds duration in s
- * @param warmUpSeconds time before in which the same load is sent and not counted, in s
+ * @param ratePerSecond requests sent per second, independent of responses
+ * @param seconds duration in seconds, without the warm-up
+ * @param warmUpSeconds duration of the uncounted warm-up with the same load, in seconds
  */
 public record LoadPlan(
         String label,
@@ -34,7 +34,7 @@
         int seconds,
         int warmUpSeconds) {
 
-    /** Copies the lists. */
+    /** Creates a plan with unmodifiable copies of the lists. */
     public LoadPlan {
         targets = List.copyOf(targets);
         tokens = List.copyOf(tokens);
--- a/cli/src/main/java/org/citrontide/cli/load/LoadReport.java
+++ b/cli/src/main/java/org/citrontide/cli/load/LoadReport.java
@@ -8,14 +8,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What became of a load. Immutable.
+ * Results of a load. Immutable.
  *
- * @param label name of the row
- * @param sent requests sent
- * @param byVerdict answers by verdict, or by what went wrong
+ * @param label name of the row in the report
+ * @param sent number of requests sent
+ * @param byVerdict number of requests by verdict, or by failure
  * @param completedMicros latency of completed requests in µs
  * @param refusedMicros latency of refused requests in µs
- * @param verdictLines one line a request: number, status, verdict
+ * @param verdictLines one line per request: number, status, verdict
  */
 public record LoadReport(
         String label,
@@ -27,9 +27,9 @@
     private static final double MICROS_PER_MILLI = 1000;
 
     /**
-     * Returns the report for people.
+     * Returns the report as a human-readable table.
      *
-     * @return two lines
+     * @return a header line and a line of values
      */
     public String text() {
         return String.format(
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Returns the report for programs.
+     * Returns the report as JSON.
      *
-     * @return a JSON object; latencies in ms
+     * @return a JSON object with latencies in ms
      */
     public String json() {
         Summary s = new Summary(
@@ -71,7 +71,7 @@
         try {
             return new ObjectMapper().writeValueAsString(s);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a record of numbers is always JSON", e);
+            throw new IllegalStateException("failed to serialize the load report", e);
         }
     }
 
