--- a/dist/src/test/java/org/citrontide/dist/Deployment.java
+++ b/dist/src/test/java/org/citrontide/dist/Deployment.java
@@ -19,26 +19,26 @@
 
 import org.citrontide.fakes.net.TestPorts;
 
-/** A small deployment of real processes: one store, one booking service, engines, sidecars and entries. */
+/** A small deployment of real processes: a store, a booking service, engines, sidecars and entries. */
 final class Deployment implements AutoCloseable {
     static final String KEY = "key-of-the-tests-0123456789";
     static final String TOKEN = "token-ashworth";
 
-    private static final Path TOP = Path.of("..").toAbsolutePath().normalize();
+    private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
     private static final String ZONE = "mill-brook";
-    private static final Duration PATIENCE = Duration.ofSeconds(40);
+    private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(40);
 
     final HttpClient http = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofSeconds(2))
             .build();
-    final Path dir;
+    final Path directory;
     private final Map<String, Process> processes = new HashMap<>();
     private final Map<String, Integer> ports = new HashMap<>();
     private final List<String> vms = new ArrayList<>();
 
     Deployment() throws IOException {
-        dir = Files.createTempDirectory("citrontide-test");
+        directory = Files.createTempDirectory("citrontide-test");
     }
 
     int port(String name) {
@@ -49,41 +49,41 @@
         return "127.0.0.1:" + port(name);
     }
 
-    void fake(String kind, String name, String... options) throws IOException {
+    void startFake(String kind, String name, String... options) throws IOException {
         List<String> args = new ArrayList<>(List.of("fake", kind, "--listen", address(name)));
         args.addAll(List.of(options));
         start(name, args);
         await(name, () -> status(name, "/fake/calls") > 0);
     }
 
-    void sidecar(String name, String service, String upstream) throws IOException {
-        settings(name, "service = \"" + service + "\"\nupstream_address = \"" + address(upstream) + "\"\n");
-        start(name, List.of("sidecar", dir.resolve(name + ".toml").toString()));
-        list(name, service);
+    void startSidecar(String name, String service, String upstream) throws IOException {
+        writeSettings(name, "service = \"" + service + "\"\nupstream_address = \"" + address(upstream) + "\"\n");
+        start(name, List.of("sidecar", directory.resolve(name + ".toml").toString()));
+        registerVm(name, service);
     }
 
-    void entry(String name) throws IOException {
-        settings(name, "caller_address = \"" + address(name + "-http") + "\"\n");
-        start(name, List.of("entry", dir.resolve(name + ".toml").toString()));
-        list(name, "");
+    void startEntry(String name) throws IOException {
+        writeSettings(name, "caller_address = \"" + address(name + "-http") + "\"\n");
+        start(name, List.of("entry", directory.resolve(name + ".toml").toString()));
+        registerVm(name, "");
     }
 
-    /** Starts a process again under its old settings. */
+    /** Restarts a process with its existing settings file. */
     void restart(String name, String role) throws IOException {
-        start(name, List.of(role, dir.resolve(name + ".toml").toString()));
+        start(name, List.of(role, directory.resolve(name + ".toml").toString()));
     }
 
-    private void settings(String name, String more) throws IOException {
+    private void writeSettings(String name, String roleSettings) throws IOException {
         String seeds = ports.containsKey("entry1") ? "\"" + address("entry1") + "\"" : "";
         Files.writeString(
-                dir.resolve(name + ".toml"),
+                directory.resolve(name + ".toml"),
                 "vm = \"" + name + "\"\nzone = \"" + ZONE + "\"\nlink_address = \"" + address(name)
                         + "\"\nadmin_address = \"" + address(name + "-admin") + "\"\nlink_key = \"" + KEY
                         + "\"\nstore_addresses = [\"" + address("store") + "\"]\nseed_links = [" + seeds
-                        + "]\ndrain_notice_ms = 500\ndrain_limit_ms = 30000\n" + more);
+                        + "]\ndrain_notice_ms = 500\ndrain_limit_ms = 30000\n" + roleSettings);
     }
 
-    private void list(String name, String service) throws IOException {
+    private void registerVm(String name, String service) throws IOException {
         vms.add("{\"vm\":\"" + name + "\",\"zone\":\"" + ZONE + "\",\"service\":\"" + service
                 + "\",\"host\":\"127.0.0.1\",\"port\":" + port(name) + ",\"leaving\":false}");
         send("PUT", "store", "/fake/vms/" + ZONE, "[" + String.join(",", vms) + "]", Map.of());
@@ -91,46 +91,46 @@
 
     private void start(String name, List<String> args) throws IOException {
         List<String> command =
-                new ArrayList<>(List.of(TOP.resolve("bin/citrontide").toString()));
+                new ArrayList<>(List.of(ROOT.resolve("bin/citrontide").toString()));
         command.addAll(args);
         ProcessBuilder b = new ProcessBuilder(command);
         b.environment().put("CITRONTIDE_TIER", "1");
         b.redirectErrorStream(true);
-        b.redirectOutput(
-                ProcessBuilder.Redirect.appendTo(dir.resolve(name + ".log").toFile()));
+        b.redirectOutput(ProcessBuilder.Redirect.appendTo(
+                directory.resolve(name + ".log").toFile()));
         processes.put(name, b.start());
     }
 
-    /** Runs a command to its end and returns its exit code. */
-    int command(String... args) throws IOException, InterruptedException {
+    /** Runs a command to completion and returns its exit code. */
+    int runCommand(String... args) throws IOException, InterruptedException {
         List<String> command =
-                new ArrayList<>(List.of(TOP.resolve("bin/citrontide").toString()));
+                new ArrayList<>(List.of(ROOT.resolve("bin/citrontide").toString()));
         command.addAll(List.of(args));
         ProcessBuilder b = new ProcessBuilder(command).redirectErrorStream(true);
-        b.redirectOutput(dir.resolve("command.out").toFile());
+        b.redirectOutput(directory.resolve("command.out").toFile());
         Process p = b.start();
         p.waitFor();
         return p.exitValue();
     }
 
     String commandOutput() throws IOException {
-        return Files.readString(dir.resolve("command.out"));
+        return Files.readString(directory.resolve("command.out"));
     }
 
-    Path serviceFiles() throws IOException {
-        Path files = dir.resolve("files");
+    Path prepareServiceFiles() throws IOException {
+        Path files = directory.resolve("files");
         if (Files.exists(files)) {
             return files;
         }
         Files.createDirectory(files);
         for (String name : List.of("booking.toml", "roster.toml", "teams.toml")) {
-            Files.copy(TOP.resolve("examples/pelletier").resolve(name), files.resolve(name));
+            Files.copy(ROOT.resolve("examples/pelletier").resolve(name), files.resolve(name));
         }
         return files;
     }
 
     int publish() throws IOException, InterruptedException {
-        return command("publish", serviceFiles().toString(), "--store", address("store"));
+        return runCommand("publish", prepareServiceFiles().toString(), "--store", address("store"));
     }
 
     void awaitReady(String... names) {
@@ -139,12 +139,12 @@
         }
     }
 
-    /** Waits for a state that must come, whatever the speed of the machine. */
+    /** Waits until a condition holds; the timeout is long so that slow machines pass. */
     void await(String what, BooleanSupplier condition) {
-        long end = System.nanoTime() + PATIENCE.toNanos();
+        long end = System.nanoTime() + AWAIT_TIMEOUT.toNanos();
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new IllegalStateException("waited in vain for " + what + "\n" + log(what));
+                throw new IllegalStateException("timed out waiting for " + what + "\n" + readLog(what));
             }
             try {
                 TimeUnit.MILLISECONDS.sleep(50);
@@ -154,9 +154,9 @@
         }
     }
 
-    String log(String name) {
+    String readLog(String name) {
         try {
-            return Files.readString(dir.resolve(name + ".log"));
+            return Files.readString(directory.resolve(name + ".log"));
         } catch (IOException e) {
             return "";
         }
@@ -183,7 +183,7 @@
         }
     }
 
-    HttpResponse<String> book(String entry, String key) throws IOException {
+    HttpResponse<String> sendBooking(String entry, String key) throws IOException {
         return send(
                 "POST",
                 entry + "-http",
@@ -192,34 +192,34 @@
                 Map.of("Authorization", "Bearer " + TOKEN, "Idempotency-Key", key));
     }
 
-    HttpResponse<String> checkTurn(String entry) throws IOException {
+    HttpResponse<String> sendTurnCheck(String entry) throws IOException {
         return send(
                 "GET", entry + "-http", "/services/booking/turns/7", "", Map.of("Authorization", "Bearer " + TOKEN));
     }
 
-    String verdict(HttpResponse<String> r) {
+    String verdictOf(HttpResponse<String> r) {
         return r.headers().firstValue("Citrontide-Verdict").orElse("none");
     }
 
-    void faults(String name, String json) throws IOException {
+    void setFaults(String name, String json) throws IOException {
         send("POST", name, "/fake/faults", json, Map.of());
     }
 
-    void signal(String name, String signal) throws IOException, InterruptedException {
+    void sendSignal(String name, String signal) throws IOException, InterruptedException {
         new ProcessBuilder(
                         "kill", "-" + signal, Long.toString(processes.get(name).pid()))
                 .start()
                 .waitFor();
     }
 
-    int waitFor(String name) throws InterruptedException {
+    int waitForExit(String name) throws InterruptedException {
         return processes.get(name).waitFor();
     }
 
     @Override
     public void close() throws IOException {
         processes.values().forEach(Process::destroyForcibly);
-        try (Stream<Path> files = Files.walk(dir)) {
+        try (Stream<Path> files = Files.walk(directory)) {
             files.sorted(Comparator.reverseOrder()).forEach(p -> p.toFile().delete());
         }
     }
--- a/dist/src/test/java/org/citrontide/dist/DeploymentTest.java
+++ b/dist/src/test/java/org/citrontide/dist/DeploymentTest.java
@@ -24,193 +24,202 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Kills, freezes, cuts and stops real processes, and checks what callers and the booking service saw. */
+/**
+ * Kills, suspends and stops real processes, breaks responses, and checks what callers and the booking service observe.
+ */
 final class DeploymentTest {
     private static final String STORE_DOWN = "{\"down\":true}";
     private static final String MESSAGES = "[{\"role\":\"user\",\"content\":\"When does headgate 7 open?\"}]";
     private static final String BOOKINGS = "/services/booking/bookings";
-    private static final Map<String, String> TEAM = Map.of("Authorization", "Bearer " + Deployment.TOKEN);
-    private static final String STORE_WELL = "{}";
+    private static final Map<String, String> TEAM_HEADERS = Map.of("Authorization", "Bearer " + Deployment.TOKEN);
+    private static final String NO_FAULTS = "{}";
 
-    private final Deployment d;
+    private final Deployment deployment;
 
     DeploymentTest() throws IOException {
-        d = new Deployment();
+        deployment = new Deployment();
     }
 
     @BeforeEach
     void start() throws IOException, InterruptedException {
-        d.fake("store", "store");
-        d.fake("service", "booking");
-        d.entry("entry1");
-        d.entry("entry2");
-        d.sidecar("side1", "booking", "booking");
-        d.sidecar("side2", "booking", "booking");
-        assertEquals(0, d.publish(), d.commandOutput());
-        d.awaitReady("entry1", "entry2", "side1", "side2");
+        deployment.startFake("store", "store");
+        deployment.startFake("service", "booking");
+        deployment.startEntry("entry1");
+        deployment.startEntry("entry2");
+        deployment.startSidecar("side1", "booking", "booking");
+        deployment.startSidecar("side2", "booking", "booking");
+        assertEquals(0, deployment.publish(), deployment.commandOutput());
+        deployment.awaitReady("entry1", "entry2", "side1", "side2");
         awaitServing("entry1");
         awaitServing("entry2");
     }
 
     @AfterEach
     void stop() throws IOException {
-        d.close();
+        deployment.close();
     }
 
     @Test
     void killedSidecarRunsNoBookingTwice() throws Exception {
-        d.faults("booking", "{\"delayMillis\":200}");
-        List<CompletableFuture<List<String>>> callers = bookings(12);
-        d.await("runs", () -> runs().size() >= 2);
-        d.signal("side1", "KILL");
-        checkBookings(callers);
+        deployment.setFaults("booking", "{\"delayMillis\":200}");
+        List<CompletableFuture<List<String>>> callers = startBookings(12);
+        deployment.await("runs", () -> runCounts().size() >= 2);
+        deployment.sendSignal("side1", "KILL");
+        assertBookingsRunAtMostOnce(callers);
     }
 
     @Test
-    void frozenSidecarRunsNoBookingTwiceWhenItWakes() throws Exception {
-        d.faults("booking", "{\"delayMillis\":200}");
-        List<CompletableFuture<List<String>>> callers = bookings(12);
-        d.await("runs", () -> runs().size() >= 2);
-        d.signal("side1", "STOP");
-        d.await("link-down", () -> d.log("entry1").contains("event=link-down"));
-        d.signal("side1", "CONT");
-        checkBookings(callers);
+    void suspendedSidecarRunsNoBookingTwiceAfterResuming() throws Exception {
+        deployment.setFaults("booking", "{\"delayMillis\":200}");
+        List<CompletableFuture<List<String>>> callers = startBookings(12);
+        deployment.await("runs", () -> runCounts().size() >= 2);
+        deployment.sendSignal("side1", "STOP");
+        deployment.await("link-down", () -> deployment.readLog("entry1").contains("event=link-down"));
+        deployment.sendSignal("side1", "CONT");
+        assertBookingsRunAtMostOnce(callers);
     }
 
     @Test
-    void plannedStopOfSidecarAndEntryCutsOffNothing() throws Exception {
-        d.faults("booking", "{\"delayMillis\":100}");
+    void gracefulStopOfSidecarAndEntryAbortsNoRequest() throws Exception {
+        deployment.setFaults("booking", "{\"delayMillis\":100}");
         List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             String key = "stop" + i;
-            answers.add(CompletableFuture.supplyAsync(() -> bookQuietly("entry1", key)));
+            answers.add(CompletableFuture.supplyAsync(() -> sendBooking("entry1", key)));
         }
-        d.await("runs", () -> !runs().isEmpty());
-        d.signal("side1", "TERM");
-        d.signal("entry1", "TERM");
+        deployment.await("runs", () -> !runCounts().isEmpty());
+        deployment.sendSignal("side1", "TERM");
+        deployment.sendSignal("entry1", "TERM");
         for (CompletableFuture<HttpResponse<String>> a : answers) {
-            assertEquals("completed", d.verdict(a.join()), a.join().body());
+            assertEquals("completed", deployment.verdictOf(a.join()), a.join().body());
         }
-        assertEquals(143, d.waitFor("side1"));
-        assertEquals(143, d.waitFor("entry1"));
-        assertTrue(d.log("side1").contains("event=stopped drained=true"));
-        assertTrue(d.log("entry1").contains("event=stopped cut-off=0"));
-        assertEquals("completed", d.verdict(d.checkTurn("entry2")));
+        assertEquals(143, deployment.waitForExit("side1"));
+        assertEquals(143, deployment.waitForExit("entry1"));
+        assertTrue(deployment.readLog("side1").contains("event=stopped drained=true"));
+        assertTrue(deployment.readLog("entry1").contains("event=stopped cut-off=0"));
+        assertEquals("completed", deployment.verdictOf(deployment.sendTurnCheck("entry2")));
     }
 
     @Test
-    void storeOutageRefusesBookingsAloneAndKeepsTheConfiguration() throws Exception {
-        d.faults("store", STORE_DOWN);
-        HttpResponse<String> refused = d.book("entry1", "during-outage");
+    void storeOutageRefusesOnlyBookingsAndKeepsTheConfiguration() throws Exception {
+        deployment.setFaults("store", STORE_DOWN);
+        HttpResponse<String> refused = deployment.sendBooking("entry1", "during-outage");
         assertEquals(503, refused.statusCode());
-        assertEquals("not-run", d.verdict(refused));
+        assertEquals("not-run", deployment.verdictOf(refused));
         assertTrue(refused.headers().firstValue("Retry-After").isPresent());
-        assertEquals("completed", d.verdict(d.checkTurn("entry1")));
-        assertEquals(3, d.publish());
-        assertTrue(d.commandOutput().contains("nothing was changed"), d.commandOutput());
-        d.signal("entry2", "KILL");
-        d.waitFor("entry2");
-        d.restart("entry2", "entry");
-        d.awaitReady("entry2");
-        d.faults("store", STORE_WELL);
-        d.await("a booking after the outage", () -> "completed".equals(d.verdict(bookQuietly("entry1", "after"))));
-        assertEquals(Map.of("after", 1), runs());
+        assertEquals("completed", deployment.verdictOf(deployment.sendTurnCheck("entry1")));
+        assertEquals(3, deployment.publish());
+        assertTrue(deployment.commandOutput().contains("nothing was changed"), deployment.commandOutput());
+        deployment.sendSignal("entry2", "KILL");
+        deployment.waitForExit("entry2");
+        deployment.restart("entry2", "entry");
+        deployment.awaitReady("entry2");
+        deployment.setFaults("store", NO_FAULTS);
+        deployment.await(
+                "a booking after the outage",
+                () -> "completed".equals(deployment.verdictOf(sendBooking("entry1", "after"))));
+        assertEquals(Map.of("after", 1), runCounts());
     }
 
     @Test
-    void lostAnswersOfTheStoreChangeNothingForCallersAndOperators() throws Exception {
-        d.faults("store", "{\"loseAnswers\":1}");
-        assertEquals("completed", d.verdict(d.book("entry1", "lost-claim-answer")));
-        assertEquals(Map.of("lost-claim-answer", 1), runs());
-        String text = Files.readString(d.serviceFiles().resolve("booking.toml"));
-        Files.writeString(d.serviceFiles().resolve("booking.toml"), text.replace("slots = 16", "slots = 15"));
-        d.faults("store", "{\"loseAnswers\":2}");
-        assertEquals(0, d.publish(), d.commandOutput());
-        assertTrue(d.commandOutput().contains("version 2"), d.commandOutput());
-        d.await(
+    void lostStoreResponsesAreHiddenFromCallersAndOperators() throws Exception {
+        deployment.setFaults("store", "{\"loseAnswers\":1}");
+        assertEquals("completed", deployment.verdictOf(deployment.sendBooking("entry1", "lost-claim-answer")));
+        assertEquals(Map.of("lost-claim-answer", 1), runCounts());
+        String text = Files.readString(deployment.prepareServiceFiles().resolve("booking.toml"));
+        Files.writeString(
+                deployment.prepareServiceFiles().resolve("booking.toml"), text.replace("slots = 16", "slots = 15"));
+        deployment.setFaults("store", "{\"loseAnswers\":2}");
+        assertEquals(0, deployment.publish(), deployment.commandOutput());
+        assertTrue(deployment.commandOutput().contains("version 2"), deployment.commandOutput());
+        deployment.await(
                 "version 2",
-                () -> metric("entry2", "citrontide_configuration_version").equals("2.0"));
-        assertEquals(0, d.publish());
-        assertTrue(d.commandOutput().contains("unchanged"), d.commandOutput());
+                () -> readMetric("entry2", "citrontide_configuration_version").equals("2.0"));
+        assertEquals(0, deployment.publish());
+        assertTrue(deployment.commandOutput().contains("unchanged"), deployment.commandOutput());
     }
 
     @Test
-    void lostAnswerOfTheServiceIsNeverRunAgain() throws Exception {
-        d.faults("booking", "{\"breakAnswers\":1}");
-        assertEquals("may-have-run", d.verdict(d.book("entry1", "broken")));
-        HttpResponse<String> again = d.book("entry2", "broken");
+    void requestWithLostServiceResponseIsNeverRerun() throws Exception {
+        deployment.setFaults("booking", "{\"breakAnswers\":1}");
+        assertEquals("may-have-run", deployment.verdictOf(deployment.sendBooking("entry1", "broken")));
+        HttpResponse<String> again = deployment.sendBooking("entry2", "broken");
         assertEquals(409, again.statusCode());
-        assertEquals("may-have-run", d.verdict(again));
-        HttpResponse<String> first = d.book("entry1", "whole");
-        assertEquals(first.body(), d.book("entry2", "whole").body());
-        assertEquals(Map.of("broken", 1, "whole", 1), runs());
+        assertEquals("may-have-run", deployment.verdictOf(again));
+        HttpResponse<String> first = deployment.sendBooking("entry1", "whole");
+        assertEquals(first.body(), deployment.sendBooking("entry2", "whole").body());
+        assertEquals(Map.of("broken", 1, "whole", 1), runCounts());
     }
 
     @Test
-    void brokenStreamIsResumedElsewhereOrPlainlyBroken() throws Exception {
+    void brokenStreamIsResumedOnAnotherUpstreamOrVisiblyBroken() throws Exception {
         for (String i : List.of("1", "2")) {
-            d.fake("engine", "engine" + i);
-            d.sidecar("roster" + i, "roster", "engine" + i);
+            deployment.startFake("engine", "engine" + i);
+            deployment.startSidecar("roster" + i, "roster", "engine" + i);
         }
-        d.awaitReady("roster1", "roster2");
-        d.await(
-                "a whole stream",
-                () -> chat().filter(b -> b.equals(wholeStream())).isPresent());
+        deployment.awaitReady("roster1", "roster2");
+        deployment.await(
+                "a complete stream",
+                () -> sendChat().filter(b -> b.equals(completeStream())).isPresent());
         for (String i : List.of("1", "2")) {
-            d.faults("engine" + i, "{\"breakAfterEvents\":3,\"breakCount\":1}");
+            deployment.setFaults("engine" + i, "{\"breakAfterEvents\":3,\"breakCount\":1}");
         }
-        assertEquals(Optional.of(wholeStream()), chat());
+        assertEquals(Optional.of(completeStream()), sendChat());
         for (String i : List.of("1", "2")) {
-            d.faults("engine" + i, "{\"breakAfterEvents\":1,\"breakCount\":100}");
+            deployment.setFaults("engine" + i, "{\"breakAfterEvents\":1,\"breakCount\":100}");
         }
-        assertEquals(Optional.empty(), chat(), "a stream that can't be resumed must not look whole");
+        assertEquals(Optional.empty(), sendChat(), "a stream that can't be resumed must not look complete");
     }
 
     @Test
-    void garbageAndWrongKeysCloseTheirOwnLinkAlone() throws Exception {
-        try (Socket s = new Socket("127.0.0.1", d.port("side1"))) {
+    void malformedFramesAndWrongKeysCloseOnlyTheirOwnLink() throws Exception {
+        try (Socket s = new Socket("127.0.0.1", deployment.port("side1"))) {
             s.getOutputStream().write(new byte[] {127, 127, 127, 127, 1, 2, 3});
             s.getInputStream().readAllBytes();
         }
-        d.await("bad-frame", () -> d.log("side1").contains("fault=bad-frame"));
-        Files.writeString(d.dir.resolve("wrong-key"), "another-key-0123456789");
-        int code = d.command(
-                "status", "--link-key-file", d.dir.resolve("wrong-key").toString(), "--links", d.address("side1"));
+        deployment.await("bad-frame", () -> deployment.readLog("side1").contains("fault=bad-frame"));
+        Files.writeString(deployment.directory.resolve("wrong-key"), "another-key-0123456789");
+        int code = deployment.runCommand(
+                "status",
+                "--link-key-file",
+                deployment.directory.resolve("wrong-key").toString(),
+                "--links",
+                deployment.address("side1"));
         assertEquals(3, code);
-        d.await("wrong-key", () -> d.log("side1").contains("fault=wrong-key"));
-        assertFalse(d.log("side1").contains(Deployment.KEY));
-        assertEquals("completed", d.verdict(d.checkTurn("entry1")));
+        deployment.await("wrong-key", () -> deployment.readLog("side1").contains("fault=wrong-key"));
+        assertFalse(deployment.readLog("side1").contains(Deployment.KEY));
+        assertEquals("completed", deployment.verdictOf(deployment.sendTurnCheck("entry1")));
     }
 
     @Test
     void badRequestsAreRefusedAsNotRun() throws IOException {
-        assertRefused(400, "POST", "/v1/chat/completions", "{", TEAM);
-        assertRefused(400, "POST", "/v1/chat/completions", "{}", TEAM);
-        assertRefused(404, "GET", "/services/nothing/turns/1", "", TEAM);
-        assertRefused(404, "GET", "/services/booking/nothing", "", TEAM);
-        assertRefused(404, "GET", "/other", "", TEAM);
+        assertRefused(400, "POST", "/v1/chat/completions", "{", TEAM_HEADERS);
+        assertRefused(400, "POST", "/v1/chat/completions", "{}", TEAM_HEADERS);
+        assertRefused(404, "GET", "/services/nothing/turns/1", "", TEAM_HEADERS);
+        assertRefused(404, "GET", "/services/booking/nothing", "", TEAM_HEADERS);
+        assertRefused(404, "GET", "/other", "", TEAM_HEADERS);
         assertRefused(401, "GET", "/services/booking/turns/1", "", Map.of());
         assertRefused(401, "GET", "/services/booking/turns/1", "", Map.of("Authorization", "Bearer wrong"));
-        assertRefused(413, "POST", BOOKINGS, "x".repeat(2_000_000), TEAM);
-        assertRefused(413, "POST", BOOKINGS, "x".repeat(5_000_000), TEAM);
-        assertRefused(400, "POST", BOOKINGS, "{}", teamWith("Request-Timeout", "soon"));
-        assertRefused(400, "POST", BOOKINGS, "{}", teamWith("Request-Timeout", "-1"));
-        assertRefused(400, "POST", BOOKINGS, "{}", teamWith("Urgency", "now"));
-        assertRefused(400, "POST", BOOKINGS, "{}", teamWith("Idempotency-Key", "k".repeat(129)));
-        assertEquals(Map.of(), runs());
+        assertRefused(413, "POST", BOOKINGS, "x".repeat(2_000_000), TEAM_HEADERS);
+        assertRefused(413, "POST", BOOKINGS, "x".repeat(5_000_000), TEAM_HEADERS);
+        assertRefused(400, "POST", BOOKINGS, "{}", headersWith("Request-Timeout", "soon"));
+        assertRefused(400, "POST", BOOKINGS, "{}", headersWith("Request-Timeout", "-1"));
+        assertRefused(400, "POST", BOOKINGS, "{}", headersWith("Urgency", "now"));
+        assertRefused(400, "POST", BOOKINGS, "{}", headersWith("Idempotency-Key", "k".repeat(129)));
+        assertEquals(Map.of(), runCounts());
     }
 
-    private static Map<String, String> teamWith(String header, String value) {
-        Map<String, String> headers = new HashMap<>(TEAM);
+    private static Map<String, String> headersWith(String header, String value) {
+        Map<String, String> headers = new HashMap<>(TEAM_HEADERS);
         headers.put(header, value);
         return headers;
     }
 
     private void assertRefused(int status, String method, String path, String body, Map<String, String> headers)
             throws IOException {
-        HttpResponse<String> r = d.send(method, "entry1-http", path, body, headers);
+        HttpResponse<String> r = deployment.send(method, "entry1-http", path, body, headers);
         assertEquals(status, r.statusCode(), r.body());
-        assertEquals("not-run", d.verdict(r));
+        assertEquals("not-run", deployment.verdictOf(r));
         assertEquals(
                 "application/problem+json",
                 r.headers().firstValue("Content-Type").orElse(""));
@@ -219,18 +228,18 @@
         assertNotEquals("", json.path("requestId").asText());
     }
 
-    /** Sends one streamed chat; empty if the connection broke or the request was refused. */
-    private Optional<String> chat() {
+    /** Sends a streamed chat request; returns empty if the connection broke or the request was refused. */
+    private Optional<String> sendChat() {
         String body = "{\"model\":\"roster\",\"stream\":true,\"max_tokens\":8,\"messages\":" + MESSAGES + "}";
         try {
-            HttpResponse<String> r = d.send("POST", "entry1-http", "/v1/chat/completions", body, TEAM);
+            HttpResponse<String> r = deployment.send("POST", "entry1-http", "/v1/chat/completions", body, TEAM_HEADERS);
             return Optional.of(r.body()).filter(b -> r.statusCode() == 200);
         } catch (IOException e) {
             return Optional.empty();
         }
     }
 
-    private static String wholeStream() {
+    private static String completeStream() {
         StringBuilder b = new StringBuilder();
         for (int i = 0; i < 8; i++) {
             b.append("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"")
@@ -241,24 +250,24 @@
     }
 
     private void awaitServing(String entry) {
-        d.await(entry + " serves", () -> {
+        deployment.await(entry + " serves", () -> {
             try {
-                return d.verdict(d.checkTurn(entry)).equals("completed");
+                return deployment.verdictOf(deployment.sendTurnCheck(entry)).equals("completed");
             } catch (IOException e) {
                 return false;
             }
         });
     }
 
-    /** Starts callers that book one key each and ask again through the other entry until it completed. */
-    private List<CompletableFuture<List<String>>> bookings(int count) {
+    /** Starts callers with one idempotency key each; each sends up to 3 attempts, alternating between the entries. */
+    private List<CompletableFuture<List<String>>> startBookings(int count) {
         List<CompletableFuture<List<String>>> callers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String key = "key" + i;
             callers.add(CompletableFuture.supplyAsync(() -> {
                 List<String> verdicts = new ArrayList<>();
-                for (int ask = 0; ask < 3 && !verdicts.contains("completed"); ask++) {
-                    verdicts.add(d.verdict(bookQuietly("entry" + (1 + ask % 2), key)));
+                for (int attempt = 0; attempt < 3 && !verdicts.contains("completed"); attempt++) {
+                    verdicts.add(deployment.verdictOf(sendBooking("entry" + (1 + attempt % 2), key)));
                 }
                 return verdicts;
             }));
@@ -266,28 +275,30 @@
         return callers;
     }
 
-    private void checkBookings(List<CompletableFuture<List<String>>> callers) {
+    private void assertBookingsRunAtMostOnce(List<CompletableFuture<List<String>>> callers) {
         for (int i = 0; i < callers.size(); i++) {
             List<String> verdicts = callers.get(i).join();
-            int ran = runs().getOrDefault("key" + i, 0);
-            assertTrue(ran <= 1, "key" + i + " ran " + ran + " times: " + verdicts);
-            boolean saidToHaveRun = verdicts.contains("completed") || verdicts.contains("may-have-run");
-            assertTrue(saidToHaveRun || ran == 0, "key" + i + " ran, yet callers were told " + verdicts);
-            assertTrue(ran == 1 || !verdicts.contains("completed"), "key" + i + " did not run: " + verdicts);
+            int runCount = runCounts().getOrDefault("key" + i, 0);
+            assertTrue(runCount <= 1, "key" + i + " ran " + runCount + " times: " + verdicts);
+            boolean isReportedAsRun = verdicts.contains("completed") || verdicts.contains("may-have-run");
+            assertTrue(isReportedAsRun || runCount == 0, "key" + i + " ran, but callers received " + verdicts);
+            assertTrue(runCount == 1 || !verdicts.contains("completed"), "key" + i + " did not run: " + verdicts);
         }
     }
 
-    private HttpResponse<String> bookQuietly(String entry, String key) {
+    private HttpResponse<String> sendBooking(String entry, String key) {
         try {
-            return d.book(entry, key);
+            return deployment.sendBooking(entry, key);
         } catch (IOException e) {
-            throw new IllegalStateException("the entry broke the connection off", e);
+            throw new IllegalStateException("the entry closed the connection", e);
         }
     }
 
-    private Map<String, Integer> runs() {
+    private Map<String, Integer> runCounts() {
         try {
-            String json = d.send("GET", "booking", "/fake/runs", "", Map.of()).body();
+            String json = deployment
+                    .send("GET", "booking", "/fake/runs", "", Map.of())
+                    .body();
             Map<String, Integer> runs = new TreeMap<>();
             new ObjectMapper()
                     .readTree(json)
@@ -299,9 +310,10 @@
         }
     }
 
-    private String metric(String process, String name) {
+    private String readMetric(String process, String name) {
         try {
-            return d.send("GET", process + "-admin", "/metrics", "", Map.of())
+            return deployment
+                    .send("GET", process + "-admin", "/metrics", "", Map.of())
                     .body()
                     .lines()
                     .filter(l -> l.startsWith(name + " "))
--- a/dist/src/test/java/org/citrontide/dist/SlopeBench.java
+++ b/dist/src/test/java/org/citrontide/dist/SlopeBench.java
@@ -41,45 +41,45 @@
 import org.citrontide.wire.generated.Heartbeat;
 import org.citrontide.wire.generated.StatusReport;
 
-/** Prints the slopes that docs/CAPACITY.md is worked out from: bytes of frames, time of decisions, heap of state. */
+/** Prints the figures that docs/CAPACITY.md is derived from: frame sizes, time per decision, heap per item of state. */
 public final class SlopeBench {
     private static final int FRAME_HEADER_BYTES = 4;
-    private static final int WARM_UP = 200_000;
+    private static final int WARM_UP_ROUNDS = 200_000;
     private static final int ROUNDS = 400_000;
-    private static final String FILE = "kind = \"plain\"\nservice = \"s\"\n[[calls]]\npath = \"/\"\n";
+    private static final String SERVICE_FILE = "kind = \"plain\"\nservice = \"s\"\n[[calls]]\npath = \"/\"\n";
 
     private SlopeBench() {}
 
     /**
      * Runs all measurements.
      *
-     * @param args none
+     * @param args ignored
      */
     public static void main(String[] args) {
-        bytes();
+        measureFrameSizes();
         for (int upstreams : new int[] {30, 480}) {
-            dispatch(upstreams);
+            measureDispatch(upstreams);
         }
         for (int waiting : new int[] {100, 10_000}) {
-            queue(waiting);
+            measureQueue(waiting);
         }
-        admission();
-        planner();
-        heap("upstream in a dispatcher", 10_000, SlopeBench::dispatcherOf);
-        heap("waiting request in a queue", 100_000, SlopeBench::queueOf);
-        heap("claim in a bucket", 100_000, SlopeBench::claims);
-        heap("admission level", 8_000, SlopeBench::admissionOf);
+        measureAdmission();
+        measurePlanner();
+        measureHeap("upstream in a dispatcher", 10_000, SlopeBench::dispatcherOf);
+        measureHeap("waiting request in a queue", 100_000, SlopeBench::queueOf);
+        measureHeap("claim in a bucket", 100_000, SlopeBench::claims);
+        measureHeap("admission level", 8_000, SlopeBench::admissionOf);
     }
 
-    private static void bytes() {
-        print(
+    private static void measureFrameSizes() {
+        printFrameSize(
                 "heartbeat",
                 Frame.newBuilder()
                         .setHeartbeat(Heartbeat.newBuilder()
                                 .setConfigurationVersion(10_000_000)
                                 .setConfigurationAgeMs(2000))
                         .build());
-        print(
+        printFrameSize(
                 "status report",
                 Frame.newBuilder()
                         .setStatus(StatusReport.newBuilder()
@@ -89,7 +89,7 @@
                                 .setWaitMs(300)
                                 .setSlots(256))
                         .build());
-        print(
+        printFrameSize(
                 "chunk with a token of 80 bytes",
                 Frame.newBuilder()
                         .setAnswerChunk(AnswerChunk.newBuilder()
@@ -97,21 +97,21 @@
                                 .setOffset(20_000)
                                 .setData(ByteString.copyFrom(new byte[80])))
                         .build());
-        int one = ClaimCodec.encode(claims(1)).length;
-        int thousand = ClaimCodec.encode(claims(1000)).length;
-        System.out.printf("bytes claim=%.1f%n", (thousand - one) / 999.0);
+        int oneClaimBytes = ClaimCodec.encode(claims(1)).length;
+        int thousandClaimsBytes = ClaimCodec.encode(claims(1000)).length;
+        System.out.printf("bytes claim=%.1f%n", (thousandClaimsBytes - oneClaimBytes) / 999.0);
         int files10 = ConfigurationCodec.encode(head(10)).length;
         int files20 = ConfigurationCodec.encode(head(20)).length;
         System.out.printf("bytes head-20-files=%d head-per-file=%.1f%n", files20, (files20 - files10) / 10.0);
     }
 
-    private static void print(String name, Frame f) {
+    private static void printFrameSize(String name, Frame f) {
         System.out.printf("bytes %s=%d%n", name.replace(' ', '-'), f.getSerializedSize() + FRAME_HEADER_BYTES);
     }
 
-    private static void dispatch(int upstreams) {
+    private static void measureDispatch(int upstreams) {
         Dispatcher d = dispatcherOf(upstreams);
-        time("dispatch-and-end upstreams=" + upstreams, i -> {
+        measureTime("dispatch-and-end upstreams=" + upstreams, i -> {
             DispatchRequest r = new DispatchRequest(
                     i, "s", "team" + i % 250, Urgency.LIVE, 100, true, Optional.empty(), Long.MAX_VALUE);
             DispatchAction.SendAttempt s = (DispatchAction.SendAttempt)
@@ -123,7 +123,7 @@
 
     private static Dispatcher dispatcherOf(int upstreams) {
         Dispatcher d = new Dispatcher("z", new UpstreamSubset("entry", "z", 100_000), new SplittableRandom(1));
-        Map<String, Configuration.FileText> files = Map.of("s.toml", new Configuration.FileText(1, FILE));
+        Map<String, Configuration.FileText> files = Map.of("s.toml", new Configuration.FileText(1, SERVICE_FILE));
         d.handle(
                 new DispatchEvent.ConfigurationChanged(
                         Configuration.check(1, files).value().orElseThrow()),
@@ -140,10 +140,10 @@
         return d;
     }
 
-    private static void queue(int waiting) {
+    private static void measureQueue(int waiting) {
         SidecarQueue q = queueOf(waiting);
-        time("queue-insert-and-take waiting=" + waiting, i -> {
-            q.offer(waiting(i + waiting));
+        measureTime("queue-insert-and-take waiting=" + waiting, i -> {
+            q.offer(queuedRequest(i + waiting));
             q.take();
         });
     }
@@ -152,22 +152,22 @@
         SidecarQueue q = new SidecarQueue(
                 new QueueShares(count + 10, Map.of(Urgency.DAILY, 10, Urgency.OVERNIGHT, 5), Map.of()));
         for (int i = 0; i < count; i++) {
-            q.offer(waiting(i));
+            q.offer(queuedRequest(i));
         }
         return q;
     }
 
-    private static QueuedRequest waiting(int i) {
+    private static QueuedRequest queuedRequest(int i) {
         return new QueuedRequest(i, Urgency.ofOrdinal(i % 3), "team" + i % 250, 1 + i % 500, Long.MAX_VALUE - i);
     }
 
-    private static void admission() {
+    private static void measureAdmission() {
         AdmissionController a = admissionOf(750);
         AdmissionKey[] keys = new AdmissionKey[750];
         for (int i = 0; i < keys.length; i++) {
             keys[i] = key(i);
         }
-        time("admission", i -> a.admit(keys[i % keys.length], 0));
+        measureTime("admission", i -> a.admit(keys[i % keys.length], 0));
     }
 
     private static AdmissionController admissionOf(int count) {
@@ -182,7 +182,7 @@
         return new AdmissionKey("s" + i / 750, Urgency.ofOrdinal(i % 3), "team" + i);
     }
 
-    private static void planner() {
+    private static void measurePlanner() {
         SplittableRandom random = new SplittableRandom(2);
         double[] speeds = random.doubles(256, 0.9, 1).toArray();
         PlacementPlanner p = new PlacementPlanner(Duration.ofMinutes(10), Duration.ZERO);
@@ -220,29 +220,29 @@
         return new Head(10_000_000, map, publications);
     }
 
-    private static void time(String name, IntConsumer work) {
-        for (int i = 0; i < WARM_UP; i++) {
+    private static void measureTime(String name, IntConsumer work) {
+        for (int i = 0; i < WARM_UP_ROUNDS; i++) {
             work.accept(i);
         }
         long start = System.nanoTime();
-        for (int i = WARM_UP; i < WARM_UP + ROUNDS; i++) {
+        for (int i = WARM_UP_ROUNDS; i < WARM_UP_ROUNDS + ROUNDS; i++) {
             work.accept(i);
         }
         System.out.printf("time %s ns=%.0f%n", name, (System.nanoTime() - start) / (double) ROUNDS);
     }
 
-    private static void heap(String name, int count, IntFunction<Object> make) {
-        make.apply(count);
-        long before = used();
-        Object kept = make.apply(count);
-        long after = used();
+    private static void measureHeap(String name, int count, IntFunction<Object> factory) {
+        factory.apply(count);
+        long before = usedHeap();
+        Object retained = factory.apply(count);
+        long after = usedHeap();
         System.out.printf("heap %s bytes=%d%n", name.replace(' ', '-'), (after - before) / count);
-        if (kept.hashCode() == 0) {
+        if (retained.hashCode() == 0) {
             System.out.println();
         }
     }
 
-    private static long used() {
+    private static long usedHeap() {
         System.gc();
         System.gc();
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
