--- a/build/protoc.sh
+++ b/build/protoc.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Remakes the committed protobuf classes. Run by hand after a change to citrontide.proto.
+# Regenerates the committed protobuf classes. Run it manually after a change to citrontide.proto.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 version=4.36.2
