--- a/entry/src/main/java/org/citrontide/entry/daemon/EntryDaemon.java
+++ b/entry/src/main/java/org/citrontide/entry/daemon/EntryDaemon.java
@@ -120,7 +120,7 @@
         List<ListedVm> upstreams = new ArrayList<>();
         byZone.values()
                 .forEach(l -> l.stream().filter(v -> !v.service().isEmpty()).forEach(upstreams::add));
-        parts.dispatch().learn(new DispatchEvent.VmListChanged(upstreams));
+        parts.dispatch().submit(new DispatchEvent.VmListChanged(upstreams));
         List<String> entries = byZone.getOrDefault(settings.process().zone(), List.of()).stream()
                 .filter(v -> v.service().isEmpty() && !v.isLeaving())
                 .map(ListedVm::vm)
--- a/entry/src/main/java/org/citrontide/entry/daemon/EntryModule.java
+++ b/entry/src/main/java/org/citrontide/entry/daemon/EntryModule.java
@@ -80,7 +80,7 @@
                 new StoredConfiguration(store),
                 Clock.SYSTEM,
                 r,
-                c -> dispatch.learn(new DispatchEvent.ConfigurationChanged(c)));
+                c -> dispatch.submit(new DispatchEvent.ConfigurationChanged(c)));
     }
 
     @Provides
--- a/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
+++ b/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
@@ -42,45 +42,45 @@
 import org.citrontide.wire.link.LinkEndpoint;
 
 /**
- * Runs the dispatcher on a thread of its own, and joins it to the links and to the callers.
+ * Shell of the {@link Dispatcher}: runs it on the dispatch thread, turns requests and frames into events, and performs
+ * the resulting actions on links and caller exchanges.
  *
- * <p>Invariant: the dispatcher and the maps of links are touched by the dispatch thread alone. Safe for use by many
- * threads.
+ * <p>Invariant: only the dispatch thread accesses the dispatcher and the map of dialled links. Thread-safe.
  */
 public final class DispatchShell implements EntryHandler.ExchangeSink, ProcessLinks.RoleLinks, AutoCloseable {
     private static final EventLog LOG = EventLog.of(DispatchShell.class);
-    private static final int RING = 16_384;
+    private static final int QUEUE_CAPACITY = 16_384;
     private static final int LOG_LINES_PER_SECOND = 50;
-    private static final int WINDOW_BYTES = 256 * 1024;
-    private static final Duration RING_FULL_RETRY_AFTER = Duration.ofSeconds(1);
-    private static final long IDLE_WAKE_NANOS = Duration.ofSeconds(1).toNanos();
+    private static final int INITIAL_CREDIT_BYTES = 256 * 1024;
+    private static final Duration QUEUE_FULL_RETRY_AFTER = Duration.ofSeconds(1);
+    private static final long IDLE_WAIT_NANOS = Duration.ofSeconds(1).toNanos();
 
     private final int maxOpenRequests;
     private final Clock clock;
     private final Dispatcher dispatcher;
     private final EntryMetrics metrics;
-    private final EventLoop<DispatchEvent> duty;
+    private final EventLoop<DispatchEvent> eventLoop;
     private final Map<Long, CallerExchange> exchanges = new ConcurrentHashMap<>();
-    private final Map<UpstreamId, LinkEndpoint.Dialled> dialled = new HashMap<>();
+    private final Map<UpstreamId, LinkEndpoint.Dialled> dialledLinks = new HashMap<>();
     private final Map<UpstreamId, Link> links = new ConcurrentHashMap<>();
     private final Map<UpstreamId, SidecarReport> reports = new ConcurrentHashMap<>();
-    private final LogRateLimiter logBudget = new LogRateLimiter(LOG_LINES_PER_SECOND);
-    private final AtomicLong nextRequest = new AtomicLong(1);
-    private Function<InetSocketAddress, LinkEndpoint.Dialled> dial = a -> {
+    private final LogRateLimiter logRateLimiter = new LogRateLimiter(LOG_LINES_PER_SECOND);
+    private final AtomicLong nextRequestNumber = new AtomicLong(1);
+    private Function<InetSocketAddress, LinkEndpoint.Dialled> linkDialler = a -> {
         throw new IllegalStateException("not started");
     };
     private volatile int openRequests;
-    private volatile long version;
+    private volatile long configurationVersion;
 
     /**
-     * Prepares the shell; {@link #start} starts it.
+     * Creates the shell; {@link #start} starts its thread.
      *
-     * @param zone the entry's availability zone
-     * @param subset chooses the upstreams that the entry keeps links to
-     * @param maxOpenRequests most requests without a final answer; more are refused at once
-     * @param random source of routing choices
-     * @param clock source of time
-     * @param metrics the entry's metrics
+     * @param zone availability zone of the entry
+     * @param subset selection of the upstreams to which the entry keeps links
+     * @param maxOpenRequests maximum number of requests without a final answer; further ones are refused immediately
+     * @param random source of random routing choices
+     * @param clock clock of the process
+     * @param metrics metrics of the entry
      */
     public DispatchShell(
             String zone,
@@ -93,32 +93,32 @@
         this.clock = clock;
         this.metrics = metrics;
         this.dispatcher = new Dispatcher(zone, subset, random);
-        this.duty = new EventLoop<>("dispatch", RING, new DispatchHandler());
+        this.eventLoop = new EventLoop<>("dispatch", QUEUE_CAPACITY, new DispatchHandler());
     }
 
     /**
-     * Starts the thread.
+     * Starts the dispatch thread. Must be called before the first link is opened.
      *
-     * @param dialler keeps a link to an address
+     * @param dialler function that opens a link to an address and keeps it open
      */
     public void start(Function<InetSocketAddress, LinkEndpoint.Dialled> dialler) {
-        dial = dialler;
-        duty.start();
+        linkDialler = dialler;
+        eventLoop.start();
     }
 
     /**
-     * Hands over what this entry learned of upstreams or configurations.
+     * Queues an event about upstreams or configurations. Blocks while the queue is full.
      *
-     * @param event the event
+     * @param event the event to handle on the dispatch thread
      */
-    public void learn(DispatchEvent event) {
-        duty.put(event);
+    public void submit(DispatchEvent event) {
+        eventLoop.put(event);
     }
 
     /**
-     * Returns the requests without a final answer.
+     * Returns the number of requests without a final answer.
      *
-     * @return count
+     * @return number of open requests
      */
     public int openRequests() {
         return Math.max(openRequests, exchanges.size());
@@ -126,56 +126,56 @@
 
     @Override
     public void accept(CallerExchange exchange) {
-        long id = nextRequest.getAndIncrement();
+        long id = nextRequestNumber.getAndIncrement();
         exchanges.put(id, exchange);
-        exchange.onCallerGone(() -> callerGone(id));
-        boolean taken = exchanges.size() <= maxOpenRequests
-                && duty.offer(new DispatchEvent.RequestArrived(facts(id, exchange.context())));
-        if (!taken) {
-            Verdict full = new Verdict.NotRun(Reason.RING_FULL, RING_FULL_RETRY_AFTER);
-            finish(id, full).ifPresent(e -> e.refuse(full, "this entry is overloaded"));
+        exchange.onDisconnect(() -> handleDisconnect(id));
+        boolean isQueued = exchanges.size() <= maxOpenRequests
+                && eventLoop.offer(new DispatchEvent.RequestArrived(toDispatchRequest(id, exchange.context())));
+        if (!isQueued) {
+            Verdict refusal = new Verdict.NotRun(Reason.RING_FULL, QUEUE_FULL_RETRY_AFTER);
+            removeExchange(id, refusal).ifPresent(e -> e.refuse(refusal, "this entry is overloaded"));
         }
     }
 
     @Override
-    public void refused(CallerExchange exchange, Verdict verdict) {
+    public void requestRefused(CallerExchange exchange, Verdict verdict) {
         record(exchange, verdict);
     }
 
     @Override
     public void linkUp(Link link) {
         if (link.isDialled()) {
-            UpstreamId id = id(link);
+            UpstreamId id = upstreamId(link);
             links.put(id, link);
-            duty.put(new DispatchEvent.LinkUp(id));
+            eventLoop.put(new DispatchEvent.LinkUp(id));
         }
     }
 
     @Override
     public void linkDown(Link link) {
         if (link.isDialled()) {
-            UpstreamId id = id(link);
+            UpstreamId id = upstreamId(link);
             links.remove(id, link);
             reports.remove(id);
-            duty.put(new DispatchEvent.LinkDown(id));
+            eventLoop.put(new DispatchEvent.LinkDown(id));
         }
     }
 
     @Override
     public void received(Link link, Frame frame) {
         switch (frame.getBodyCase()) {
-            case STATUS -> report(id(link), frame.getStatus());
+            case STATUS -> handleStatusReport(upstreamId(link), frame.getStatus());
             case ANSWER_HEAD ->
-                duty.put(new DispatchEvent.AnswerHead(
+                eventLoop.put(new DispatchEvent.AnswerHead(
                         frame.getAnswerHead().getId(),
                         frame.getAnswerHead().getStatus(),
                         frame.getAnswerHead().getContentType()));
             case ANSWER_CHUNK ->
-                duty.put(new DispatchEvent.AnswerChunk(
+                eventLoop.put(new DispatchEvent.AnswerChunk(
                         frame.getAnswerChunk().getId(),
                         frame.getAnswerChunk().getOffset(),
                         frame.getAnswerChunk().getData().toByteArray()));
-            case ANSWER_END -> ended(id(link), frame.getAnswerEnd());
+            case ANSWER_END -> handleAnswerEnd(upstreamId(link), frame.getAnswerEnd());
             default ->
                 LOG.warn("frame-unexpected")
                         .with("kind", frame.getBodyCase())
@@ -186,34 +186,34 @@
 
     @Override
     public void close() {
-        duty.close();
+        eventLoop.close();
     }
 
-    private void callerGone(long id) {
-        finish(id, new Verdict.MayHaveRun(Reason.CANCELLED))
-                .ifPresent(e -> duty.put(new DispatchEvent.CallerDisconnected(id)));
+    private void handleDisconnect(long id) {
+        removeExchange(id, new Verdict.MayHaveRun(Reason.CANCELLED))
+                .ifPresent(e -> eventLoop.put(new DispatchEvent.CallerDisconnected(id)));
     }
 
-    private void report(UpstreamId id, StatusReport s) {
+    private void handleStatusReport(UpstreamId id, StatusReport s) {
         SidecarReport r = new SidecarReport(
                 s.getAccepting(), s.getRunning(), s.getWaiting(), s.getWaitMs(), s.getSlots(), s.getLiveAhead());
         reports.put(id, r);
-        duty.put(new DispatchEvent.ReportReceived(id, r));
+        eventLoop.put(new DispatchEvent.ReportReceived(id, r));
     }
 
-    private void ended(UpstreamId id, AnswerEnd end) {
-        duty.put(new DispatchEvent.AttemptEnded(end.getId(), VerdictCodec.decode(end, 0), end.getLength()));
+    private void handleAnswerEnd(UpstreamId id, AnswerEnd end) {
+        eventLoop.put(new DispatchEvent.AttemptEnded(end.getId(), VerdictCodec.decode(end, 0), end.getLength()));
         if (end.hasLoad()) {
-            report(id, end.getLoad());
+            handleStatusReport(id, end.getLoad());
         }
     }
 
-    private static UpstreamId id(Link link) {
+    private static UpstreamId upstreamId(Link link) {
         return new UpstreamId(
                 link.remote().getAddress().getHostAddress(), link.remote().getPort());
     }
 
-    private static DispatchRequest facts(long id, RequestContext c) {
+    private static DispatchRequest toDispatchRequest(long id, RequestContext c) {
         ServiceFile file = c.service().orElseThrow();
         Optional<Integer> bucket = c.idempotencyKey()
                 .filter(k -> !c.repeatable())
@@ -224,40 +224,41 @@
 
     private void perform(DispatchAction action) {
         switch (action) {
-            case DispatchAction.SendAttempt s -> send(s);
-            case DispatchAction.CancelAttempt c -> cancel(c);
-            case DispatchAction.GrantCredit c -> credit(c.attempt(), c.upstream(), c.bytes());
+            case DispatchAction.SendAttempt s -> sendAttempt(s);
+            case DispatchAction.CancelAttempt c -> sendCancel(c);
+            case DispatchAction.GrantCredit c -> sendCredit(c.attempt(), c.upstream(), c.bytes());
             case DispatchAction.SendAnswer a ->
-                finish(a.request(), new Verdict.Completed(a.status()))
+                removeExchange(a.request(), new Verdict.Completed(a.status()))
                         .ifPresent(e -> e.answer(a.status(), a.contentType(), a.body()));
             case DispatchAction.BeginStream b ->
-                find(b.request()).ifPresent(e -> e.beginStream(b.status(), b.contentType()));
+                findExchange(b.request()).ifPresent(e -> e.beginStream(b.status(), b.contentType()));
             case DispatchAction.SendEvents s ->
-                find(s.request())
-                        .ifPresent(e -> e.stream(s.data(), () -> credit(s.attempt(), s.upstream(), s.credit())));
+                findExchange(s.request())
+                        .ifPresent(e -> e.stream(s.data(), () -> sendCredit(s.attempt(), s.upstream(), s.credit())));
             case DispatchAction.EndStream s ->
-                finish(s.request(), s.verdict()).ifPresent(e -> e.endStream(s.verdict()));
+                removeExchange(s.request(), s.verdict()).ifPresent(e -> e.endStream(s.verdict()));
             case DispatchAction.RefuseRequest r ->
-                finish(r.request(), r.verdict()).ifPresent(e -> e.refuse(r.verdict(), "see the title for the reason"));
-            case DispatchAction.OpenLink d -> dial(d.upstream());
+                removeExchange(r.request(), r.verdict())
+                        .ifPresent(e -> e.refuse(r.verdict(), "see the title for the reason"));
+            case DispatchAction.OpenLink d -> openLink(d.upstream());
             case DispatchAction.CloseLink d ->
-                Optional.ofNullable(dialled.remove(d.upstream())).ifPresent(LinkEndpoint.Dialled::close);
+                Optional.ofNullable(dialledLinks.remove(d.upstream())).ifPresent(LinkEndpoint.Dialled::close);
         }
     }
 
-    private void dial(UpstreamId id) {
-        dialled.computeIfAbsent(id, i -> dial.apply(new InetSocketAddress(i.host(), i.port())));
+    private void openLink(UpstreamId id) {
+        dialledLinks.computeIfAbsent(id, i -> linkDialler.apply(new InetSocketAddress(i.host(), i.port())));
         if (links.containsKey(id)) {
-            step(new DispatchEvent.LinkUp(id));
-            Optional.ofNullable(reports.get(id)).ifPresent(r -> step(new DispatchEvent.ReportReceived(id, r)));
+            handleEvent(new DispatchEvent.LinkUp(id));
+            Optional.ofNullable(reports.get(id)).ifPresent(r -> handleEvent(new DispatchEvent.ReportReceived(id, r)));
         }
     }
 
-    private void send(DispatchAction.SendAttempt s) {
+    private void sendAttempt(DispatchAction.SendAttempt s) {
         Link link = links.get(s.upstream());
-        Optional<CallerExchange> exchange = find(s.request());
+        Optional<CallerExchange> exchange = findExchange(s.request());
         if (link == null || exchange.isEmpty()) {
-            duty.put(new DispatchEvent.SendFailed(s.attempt()));
+            eventLoop.put(new DispatchEvent.SendFailed(s.attempt()));
             return;
         }
         RequestContext c = exchange.get().context();
@@ -267,7 +268,7 @@
                 .setMethod(c.method())
                 .setPath(c.upstreamPath())
                 .setContentType(c.headers().contentType().orElse(""))
-                .setBody(body(c))
+                .setBody(wrapBody(c))
                 .setService(c.service().orElseThrow().service())
                 .setTeam(c.team())
                 .setUrgency(c.urgency().ordinal())
@@ -277,37 +278,37 @@
                 .setRepeatable(c.repeatable())
                 .setIdempotencyKey(c.idempotencyKey().orElse(""))
                 .setResumeAfterEvents(s.resumeAfterEvents())
-                .setWindow(WINDOW_BYTES);
+                .setWindow(INITIAL_CREDIT_BYTES);
         link.send(Frame.newBuilder().setAttempt(a).build(), sent -> {
             if (!sent) {
-                duty.put(new DispatchEvent.SendFailed(s.attempt()));
+                eventLoop.put(new DispatchEvent.SendFailed(s.attempt()));
             }
         });
     }
 
-    private static ByteString body(RequestContext c) {
+    private static ByteString wrapBody(RequestContext c) {
         return UnsafeByteOperations.unsafeWrap(c.body());
     }
 
-    private void cancel(DispatchAction.CancelAttempt c) {
+    private void sendCancel(DispatchAction.CancelAttempt c) {
         Optional.ofNullable(links.get(c.upstream()))
                 .ifPresent(l -> l.send(Frame.newBuilder()
                         .setCancel(Cancel.newBuilder().setId(c.attempt()))
                         .build()));
     }
 
-    private void credit(long attempt, UpstreamId upstream, int bytes) {
+    private void sendCredit(long attempt, UpstreamId upstream, int bytes) {
         Optional.ofNullable(links.get(upstream))
                 .ifPresent(l -> l.send(Frame.newBuilder()
                         .setCredit(Credit.newBuilder().setId(attempt).setBytes(bytes))
                         .build()));
     }
 
-    private Optional<CallerExchange> find(long request) {
+    private Optional<CallerExchange> findExchange(long request) {
         return Optional.ofNullable(exchanges.get(request));
     }
 
-    private Optional<CallerExchange> finish(long request, Verdict verdict) {
+    private Optional<CallerExchange> removeExchange(long request, Verdict verdict) {
         Optional<CallerExchange> e = Optional.ofNullable(exchanges.remove(request));
         e.ifPresent(x -> record(x, verdict));
         return e;
@@ -315,10 +316,10 @@
 
     private void record(CallerExchange e, Verdict verdict) {
         RequestContext c = e.context();
-        Duration time = Duration.ofNanos(clock.nanos() - c.arrivedNanos());
+        Duration duration = Duration.ofNanos(clock.nanos() - c.arrivedNanos());
         String service = c.service().map(ServiceFile::service).orElse("none");
-        metrics.ended(service, c.team(), c.urgency(), verdict, time);
-        if (verdict instanceof Verdict.Completed || !logBudget.tryAcquire(clock.nanos())) {
+        metrics.recordRequest(service, c.team(), c.urgency(), verdict, duration);
+        if (verdict instanceof Verdict.Completed || !logRateLimiter.tryAcquire(clock.nanos())) {
             return;
         }
         LOG.info("request-ended")
@@ -327,13 +328,13 @@
                 .with("team", c.team())
                 .with("urgency", c.urgency().externalName())
                 .with("verdict", verdict.headerValue())
-                .with("reason", EntryMetrics.reason(verdict))
-                .with("ms", time.toMillis())
-                .with("suppressed", logBudget.getAndResetSuppressed())
+                .with("reason", EntryMetrics.reasonLabel(verdict))
+                .with("ms", duration.toMillis())
+                .with("suppressed", logRateLimiter.getAndResetSuppressed())
                 .write();
     }
 
-    private void step(DispatchEvent event) {
+    private void handleEvent(DispatchEvent event) {
         dispatcher.handle(event, clock.nanos()).forEach(this::perform);
     }
 
@@ -341,22 +342,22 @@
         @Override
         public void handle(DispatchEvent event) {
             if (event instanceof DispatchEvent.ConfigurationChanged c) {
-                version = c.configuration().version();
+                configurationVersion = c.configuration().version();
             }
-            step(event);
+            handleEvent(event);
         }
 
         @Override
         public void runDueTasks() {
-            step(new DispatchEvent.Tick());
+            handleEvent(new DispatchEvent.Tick());
             openRequests = dispatcher.openRequests();
-            metrics.state(openRequests, dispatcher.retries(), dispatcher.droppedFrames(), version);
+            metrics.updateGauges(openRequests, dispatcher.retries(), dispatcher.droppedFrames(), configurationVersion);
         }
 
         @Override
         public long nanosToNextTask() {
             long now = clock.nanos();
-            return dispatcher.nextDeadlineNanos().map(d -> d - now).orElse(IDLE_WAKE_NANOS);
+            return dispatcher.nextDeadlineNanos().map(d -> d - now).orElse(IDLE_WAIT_NANOS);
         }
     }
 }
--- a/entry/src/main/java/org/citrontide/entry/dispatch/EntryMetrics.java
+++ b/entry/src/main/java/org/citrontide/entry/dispatch/EntryMetrics.java
@@ -10,9 +10,9 @@
 import org.citrontide.core.verdict.Verdict;
 import org.citrontide.runtime.metrics.TeamLabels;
 
-/** The metrics of an entry. Safe for use by many threads. */
+/** The metrics of an entry. Thread-safe. */
 public final class EntryMetrics {
-    private static final double[] SECONDS = {
+    private static final double[] BUCKET_BOUNDS_SECONDS = {
         0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 1.8, 2.5, 5, 10, 30, 60, 300, 3600
     };
     private static final double NANOS_PER_SECOND = 1e9;
@@ -28,8 +28,8 @@
     /**
      * Registers the metrics.
      *
-     * @param registry where to
-     * @param maxTeams teams that have labels of their own
+     * @param registry registry that receives the metrics
+     * @param maxTeams maximum number of teams that have their own label value
      */
     public EntryMetrics(PrometheusRegistry registry, int maxTeams) {
         teams = new TeamLabels(maxTeams);
@@ -38,7 +38,7 @@
                 .help("Time from arrival to the end of the answer")
                 .labelNames("team", "urgency")
                 .classicOnly()
-                .classicUpperBounds(SECONDS)
+                .classicUpperBounds(BUCKET_BOUNDS_SECONDS)
                 .register(registry);
         verdicts = Counter.builder()
                 .name("citrontide_verdicts")
@@ -51,22 +51,22 @@
         configurationVersion = gauge(registry, "citrontide_configuration_version", "Version in force");
     }
 
-    void ended(String service, String team, Urgency urgency, Verdict verdict, Duration time) {
+    void recordRequest(String service, String team, Urgency urgency, Verdict verdict, Duration duration) {
         requestSeconds
                 .labelValues(teams.label(team), urgency.externalName())
-                .observe(time.toNanos() / NANOS_PER_SECOND);
-        verdicts.labelValues(service, urgency.externalName(), verdict.headerValue(), reason(verdict))
+                .observe(duration.toNanos() / NANOS_PER_SECOND);
+        verdicts.labelValues(service, urgency.externalName(), verdict.headerValue(), reasonLabel(verdict))
                 .inc();
     }
 
-    void state(int open, long retryCount, long dropped, long version) {
-        openRequests.set(open);
+    void updateGauges(int openCount, long retryCount, long droppedCount, long version) {
+        openRequests.set(openCount);
         retries.set(retryCount);
-        droppedFrames.set(dropped);
+        droppedFrames.set(droppedCount);
         configurationVersion.set(version);
     }
 
-    static String reason(Verdict verdict) {
+    static String reasonLabel(Verdict verdict) {
         return switch (verdict) {
             case Verdict.Completed c -> "none";
             case Verdict.NotRun n -> n.reason().key();
--- a/entry/src/main/java/org/citrontide/entry/http/CallerExchange.java
+++ b/entry/src/main/java/org/citrontide/entry/http/CallerExchange.java
@@ -66,7 +66,7 @@
      *
      * @param listener run at most a few times, on any thread
      */
-    public void onCallerGone(Runnable listener) {
+    public void onDisconnect(Runnable listener) {
         goneListener = listener;
     }
 
--- a/entry/src/main/java/org/citrontide/entry/http/EntryHandler.java
+++ b/entry/src/main/java/org/citrontide/entry/http/EntryHandler.java
@@ -96,7 +96,7 @@
     }
 
     private void refuse(CallerExchange exchange, Refusal refusal) {
-        sink.refused(exchange, refusal.verdict());
+        sink.requestRefused(exchange, refusal.verdict());
         exchange.refuse(refusal.verdict(), refusal.detail());
     }
 
@@ -135,6 +135,6 @@
          * @param exchange the request
          * @param verdict the verdict on it
          */
-        void refused(CallerExchange exchange, Verdict verdict);
+        void requestRefused(CallerExchange exchange, Verdict verdict);
     }
 }
