--- a/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
+++ b/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
@@ -216,10 +216,10 @@
     private static DispatchRequest toDispatchRequest(long id, RequestContext c) {
         ServiceFile file = c.service().orElseThrow();
         Optional<Integer> bucket = c.idempotencyKey()
-                .filter(k -> !c.repeatable())
+                .filter(k -> !c.isRepeatable())
                 .map(k -> KeyHash.of(file.service(), c.team(), k).bucket());
         return new DispatchRequest(
-                id, file.service(), c.team(), c.urgency(), c.cost(), c.repeatable(), bucket, c.deadlineNanos());
+                id, file.service(), c.team(), c.urgency(), c.cost(), c.isRepeatable(), bucket, c.deadlineNanos());
     }
 
     private void perform(DispatchAction action) {
@@ -275,7 +275,7 @@
                 .setCost(c.cost())
                 .setRemainingMs(s.remaining().toMillis())
                 .setDeadlineEpochMs(clock.epochMillis() + s.remaining().toMillis())
-                .setRepeatable(c.repeatable())
+                .setRepeatable(c.isRepeatable())
                 .setIdempotencyKey(c.idempotencyKey().orElse(""))
                 .setResumeAfterEvents(s.resumeAfterEvents())
                 .setWindow(INITIAL_CREDIT_BYTES);
--- a/entry/src/main/java/org/citrontide/entry/filter/AuthenticationFilter.java
+++ b/entry/src/main/java/org/citrontide/entry/filter/AuthenticationFilter.java
@@ -5,24 +5,24 @@
 import org.apache.commons.codec.digest.DigestUtils;
 import org.citrontide.core.verdict.Reason;
 
-/** Finds the team by the bearer token. Stateless and safe for use by many threads. */
+/** Authenticates the request: determines the team from the bearer token. Stateless and thread-safe. */
 public final class AuthenticationFilter implements RequestFilter {
-    private static final String SCHEME = "Bearer ";
+    private static final String BEARER_PREFIX = "Bearer ";
 
     @Override
-    public Optional<Refusal> apply(RequestContext c) {
-        Optional<String> token = c.headers
+    public Optional<Refusal> apply(RequestContext context) {
+        Optional<String> token = context.headers
                 .authorization()
-                .filter(a -> a.regionMatches(true, 0, SCHEME, 0, SCHEME.length()))
-                .map(a -> a.substring(SCHEME.length()).trim());
+                .filter(a -> a.regionMatches(true, 0, BEARER_PREFIX, 0, BEARER_PREFIX.length()))
+                .map(a -> a.substring(BEARER_PREFIX.length()).trim());
         if (token.isEmpty()) {
             return Optional.of(Refusal.of(Reason.UNAUTHENTICATED, "send Authorization: Bearer with the team's token"));
         }
-        String team = c.configuration.teamsByTokenHash().get(DigestUtils.sha256Hex(token.get()));
+        String team = context.configuration.teamsByTokenHash().get(DigestUtils.sha256Hex(token.get()));
         if (team == null) {
-            return Optional.of(Refusal.of(Reason.UNAUTHENTICATED, "the token names no team"));
+            return Optional.of(Refusal.of(Reason.UNAUTHENTICATED, "the token does not belong to any team"));
         }
-        c.team = team;
+        context.team = team;
         return Optional.empty();
     }
 }
--- a/entry/src/main/java/org/citrontide/entry/filter/CallerHeaders.java
+++ b/entry/src/main/java/org/citrontide/entry/filter/CallerHeaders.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * The headers of a caller that the filters look at. Immutable.
+ * The headers of a request that the filters read; absent ones are empty. Immutable.
  *
  * @param authorization {@code Authorization}
  * @param contentType {@code Content-Type}
--- a/entry/src/main/java/org/citrontide/entry/filter/CostFilter.java
+++ b/entry/src/main/java/org/citrontide/entry/filter/CostFilter.java
@@ -5,8 +5,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Estimates the cost in tokens: the prompt's length plus the most tokens that the answer may have for a model, the
- * length of the body for a plain service. Stateless and safe for use by many threads.
+ * Estimates the cost in tokens from the length of the body; for a chat completion, adds the maximum number of tokens of
+ * the answer. Stateless and thread-safe.
  */
 public final class CostFilter implements RequestFilter {
     private static final int BYTES_PER_TOKEN = 4;
@@ -14,13 +14,14 @@
     private static final int MAX_ANSWER_TOKENS = 100_000;
 
     @Override
-    public Optional<Refusal> apply(RequestContext c) {
-        int prompt = c.body.length / BYTES_PER_TOKEN;
-        c.cost = 1 + prompt + c.json.map(CostFilter::answerTokens).orElse(0);
+    public Optional<Refusal> apply(RequestContext context) {
+        int promptTokens = context.body.length / BYTES_PER_TOKEN;
+        context.cost =
+                1 + promptTokens + context.json.map(CostFilter::maxAnswerTokens).orElse(0);
         return Optional.empty();
     }
 
-    private static int answerTokens(JsonNode json) {
+    private static int maxAnswerTokens(JsonNode json) {
         JsonNode limit =
                 json.has("max_completion_tokens") ? json.get("max_completion_tokens") : json.path("max_tokens");
         int tokens = limit.isInt() ? limit.intValue() : DEFAULT_ANSWER_TOKENS;
--- a/entry/src/main/java/org/citrontide/entry/filter/DeadlineFilter.java
+++ b/entry/src/main/java/org/citrontide/entry/filter/DeadlineFilter.java
@@ -5,28 +5,27 @@
 import org.citrontide.core.verdict.Reason;
 
 /**
- * Sets the deadline: the service's time-out, or the caller's if that is shorter. Stateless and safe for use by many
- * threads.
+ * Sets the deadline from the shorter of the service's timeout and the caller's. Stateless and thread-safe.
  */
 public final class DeadlineFilter implements RequestFilter {
     private static final double NANOS_PER_SECOND = 1e9;
 
     @Override
-    public Optional<Refusal> apply(RequestContext c) {
-        long timeout = c.service.orElseThrow().limits().timeout().toNanos();
-        c.deadlineNanos = c.arrivedNanos + timeout;
-        if (c.headers.requestTimeout().isEmpty()) {
+    public Optional<Refusal> apply(RequestContext context) {
+        long timeout = context.service.orElseThrow().limits().timeout().toNanos();
+        context.deadlineNanos = context.arrivedNanos + timeout;
+        if (context.headers.requestTimeout().isEmpty()) {
             return Optional.empty();
         }
-        Optional<Double> seconds = parse(c.headers.requestTimeout().get());
+        Optional<Double> seconds = parseSeconds(context.headers.requestTimeout().get());
         if (seconds.isEmpty()) {
             return Optional.of(Refusal.of(Reason.BAD_REQUEST, "Request-Timeout must be a positive number of seconds"));
         }
-        c.deadlineNanos = c.arrivedNanos + (long) Math.min(timeout, seconds.get() * NANOS_PER_SECOND);
+        context.deadlineNanos = context.arrivedNanos + (long) Math.min(timeout, seconds.get() * NANOS_PER_SECOND);
         return Optional.empty();
     }
 
-    private static Optional<Double> parse(String text) {
+    private static Optional<Double> parseSeconds(String text) {
         try {
             return Optional.of(Double.parseDouble(text)).filter(s -> s > 0 && !s.isInfinite());
         } catch (NumberFormatException e) {
--- a/entry/src/main/java/org/citrontide/entry/filter/Refusal.java
+++ b/entry/src/main/java/org/citrontide/entry/filter/Refusal.java
@@ -6,19 +6,19 @@
 import org.citrontide.core.verdict.Verdict;
 
 /**
- * Why a filter turned a request away. Immutable.
+ * The refusal of a request by a filter. Immutable.
  *
- * @param verdict the verdict, always one of not run
- * @param detail what the caller should change, without any secret
+ * @param verdict verdict on the request, which has not run
+ * @param detail text for the caller on what to change; must not contain secrets
  */
 public record Refusal(Verdict.NotRun verdict, String detail) {
 
     /**
-     * Refuses a request that won't fare better later.
+     * Creates a refusal of a request that a retry would not help.
      *
-     * @param reason why
-     * @param detail what the caller should change
-     * @return the refusal
+     * @param reason reason for the refusal
+     * @param detail text for the caller on what to change
+     * @return the refusal, with no delay before a retry
      */
     static Refusal of(Reason reason, String detail) {
         return new Refusal(new Verdict.NotRun(reason, Duration.ZERO), detail);
--- a/entry/src/main/java/org/citrontide/entry/filter/RequestContext.java
+++ b/entry/src/main/java/org/citrontide/entry/filter/RequestContext.java
@@ -8,8 +8,8 @@
 import org.citrontide.core.publication.Urgency;
 
 /**
- * What the filters learn of one request. Each field is set by the filter that its comment names and read by later ones.
- * Not thread-safe: one request is filtered by one thread at a time.
+ * The state of one request as it passes through the filters. Each field is set by the filter that its comment names and
+ * read by later ones. Not thread-safe: one thread at a time filters a request.
  */
 public final class RequestContext {
     final String method;
@@ -17,10 +17,10 @@
     final Configuration configuration;
     final long arrivedNanos;
 
-    /** Headers of the caller; absent ones are empty. */
+    /** The caller's headers that the filters read. */
     final CallerHeaders headers;
 
-    /** The whole body, empty before it was read. */
+    /** The complete body, empty until it has been read. */
     byte[] body = new byte[0];
 
     /** Set by {@link AuthenticationFilter}. */
@@ -29,34 +29,34 @@
     /** Set by {@link ServiceFilter}. */
     Optional<ServiceFile> service = Optional.empty();
 
-    /** Set by {@link ServiceFilter}: the parsed body of a chat completion. */
+    /** Set by {@link ServiceFilter}: the parsed body, present for a chat completion. */
     Optional<JsonNode> json = Optional.empty();
 
-    /** Set by {@link ServiceFilter}: the path at the upstream. */
+    /** Set by {@link ServiceFilter}: the path to request at the upstream. */
     String upstreamPath = "";
 
-    /** Set by {@link CallFilter}. */
+    /** Set by {@link CallRuleFilter}. */
     boolean repeatable;
 
-    /** Set by {@link CallFilter}. */
+    /** Set by {@link CallRuleFilter}. */
     Urgency urgency = Urgency.OVERNIGHT;
 
     /** Set by {@link DeadlineFilter}, in ns of the monotonic clock. */
     long deadlineNanos;
 
-    /** Set by {@link IdempotencyFilter}. */
+    /** Set by {@link IdempotencyKeyFilter}. */
     Optional<String> idempotencyKey = Optional.empty();
 
     /** Set by {@link CostFilter}, in tokens. */
     int cost = 1;
 
     /**
-     * Begins with what the request line and the headers say.
+     * Creates the context of a request whose headers have been received.
      *
      * @param method HTTP method
-     * @param path path with its query
-     * @param headers headers that filters look at
-     * @param configuration configuration in force
+     * @param path path with the query
+     * @param headers headers that the filters read
+     * @param configuration configuration in force on arrival
      * @param arrivedNanos monotonic time of arrival in ns
      */
     public RequestContext(
@@ -69,18 +69,18 @@
     }
 
     /**
-     * Sets the body once it was read.
+     * Sets the body.
      *
-     * @param bytes the whole body; must not be changed afterwards
+     * @param bytes the complete body; must not be modified afterwards
      */
-    public void body(byte[] bytes) {
+    public void setBody(byte[] bytes) {
         body = bytes;
     }
 
     /**
      * Returns the body.
      *
-     * @return the whole body; must not be changed
+     * @return the complete body, empty until it has been read; must not be modified
      */
     public byte[] body() {
         return body;
@@ -89,7 +89,7 @@
     /**
      * Returns the HTTP method.
      *
-     * @return method in upper case
+     * @return the method as sent by the caller
      */
     public String method() {
         return method;
@@ -98,7 +98,7 @@
     /**
      * Returns the caller's headers.
      *
-     * @return the headers that filters look at
+     * @return the headers that the filters read
      */
     public CallerHeaders headers() {
         return headers;
@@ -107,43 +107,43 @@
     /**
      * Returns the caller's team.
      *
-     * @return name of the team, empty before authentication
+     * @return name of the team, empty until the request is authenticated
      */
     public String team() {
         return team;
     }
 
     /**
-     * Returns the service's file.
+     * Returns the configuration file of the requested service.
      *
-     * @return the file, or empty before the service is known
+     * @return the file, or empty while the service is unknown
      */
     public Optional<ServiceFile> service() {
         return service;
     }
 
     /**
-     * Returns the path at the upstream.
+     * Returns the path to request at the upstream.
      *
-     * @return path with its query
+     * @return path with the query, empty while the service is unknown
      */
     public String upstreamPath() {
         return upstreamPath;
     }
 
     /**
-     * Says whether running the request twice does no harm.
+     * Returns whether the request may safely run more than once.
      *
-     * @return true if so
+     * @return true if it may, according to the rule of the call
      */
-    public boolean repeatable() {
+    public boolean isRepeatable() {
         return repeatable;
     }
 
     /**
      * Returns the urgency class.
      *
-     * @return the class
+     * @return the urgency class, {@link Urgency#OVERNIGHT} before the call rule is known
      */
     public Urgency urgency() {
         return urgency;
@@ -152,7 +152,7 @@
     /**
      * Returns the deadline.
      *
-     * @return monotonic time in ns
+     * @return monotonic deadline in ns
      */
     public long deadlineNanos() {
         return deadlineNanos;
@@ -161,7 +161,7 @@
     /**
      * Returns the idempotency key.
      *
-     * @return the caller's key, if there is one
+     * @return the key, or empty if the caller sent none
      */
     public Optional<String> idempotencyKey() {
         return idempotencyKey;
@@ -170,7 +170,7 @@
     /**
      * Returns the estimated cost.
      *
-     * @return cost in tokens
+     * @return estimated cost in tokens
      */
     public int cost() {
         return cost;
@@ -179,7 +179,7 @@
     /**
      * Returns the time of arrival.
      *
-     * @return monotonic time in ns
+     * @return monotonic time of arrival in ns
      */
     public long arrivedNanos() {
         return arrivedNanos;
--- a/entry/src/main/java/org/citrontide/entry/filter/RequestFilter.java
+++ b/entry/src/main/java/org/citrontide/entry/filter/RequestFilter.java
@@ -2,15 +2,15 @@
 
 import java.util.Optional;
 
-/** One step of the chain that every request passes. Implementations are stateless and safe for use by many threads. */
+/** A step of the filter chain. Implementations are stateless and thread-safe. */
 public sealed interface RequestFilter
-        permits AuthenticationFilter, CallFilter, CostFilter, DeadlineFilter, IdempotencyFilter, ServiceFilter {
+        permits AuthenticationFilter, CallRuleFilter, CostFilter, DeadlineFilter, IdempotencyKeyFilter, ServiceFilter {
 
     /**
-     * Looks at a request and adds what it learns.
+     * Checks a request and records the result in its context.
      *
-     * @param c the request
-     * @return the refusal, or empty to go on
+     * @param context the request
+     * @return the refusal, or empty if the request passes this filter
      */
-    Optional<Refusal> apply(RequestContext c);
+    Optional<Refusal> apply(RequestContext context);
 }
--- a/entry/src/main/java/org/citrontide/entry/http/EntryHandler.java
+++ b/entry/src/main/java/org/citrontide/entry/http/EntryHandler.java
@@ -65,7 +65,7 @@
                     new Refusal(new Verdict.NotRun(Reason.NOT_READY, Duration.ofSeconds(1)), "no configuration yet"));
             return true;
         }
-        Optional<Refusal> refusal = FilterChain.beforeBody(context);
+        Optional<Refusal> refusal = FilterChain.applyHeaderFilters(context);
         if (refusal.isEmpty() && request.getLength() > MAX_BODY_BYTES) {
             refusal = Optional.of(bodyTooLarge());
         }
@@ -86,8 +86,8 @@
     }
 
     private void accept(CallerExchange exchange, byte[] body) {
-        exchange.context().body(body);
-        Optional<Refusal> refusal = FilterChain.afterBody(exchange.context());
+        exchange.context().setBody(body);
+        Optional<Refusal> refusal = FilterChain.applyBodyFilters(exchange.context());
         if (refusal.isPresent()) {
             refuse(exchange, refusal.get());
             return;
