--- a/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
+++ b/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
@@ -133,7 +133,7 @@
                 && eventLoop.offer(new DispatchEvent.RequestArrived(toDispatchRequest(id, exchange.context())));
         if (!isQueued) {
             Verdict refusal = new Verdict.NotRun(Reason.RING_FULL, QUEUE_FULL_RETRY_AFTER);
-            removeExchange(id, refusal).ifPresent(e -> e.refuse(refusal, "this entry is overloaded"));
+            removeExchange(id, refusal).ifPresent(e -> e.sendRefusal(refusal, "this entry is overloaded"));
         }
     }
 
@@ -229,17 +229,18 @@
             case DispatchAction.GrantCredit c -> sendCredit(c.attempt(), c.upstream(), c.bytes());
             case DispatchAction.SendAnswer a ->
                 removeExchange(a.request(), new Verdict.Completed(a.status()))
-                        .ifPresent(e -> e.answer(a.status(), a.contentType(), a.body()));
+                        .ifPresent(e -> e.sendAnswer(a.status(), a.contentType(), a.body()));
             case DispatchAction.BeginStream b ->
                 findExchange(b.request()).ifPresent(e -> e.beginStream(b.status(), b.contentType()));
             case DispatchAction.SendEvents s ->
                 findExchange(s.request())
-                        .ifPresent(e -> e.stream(s.data(), () -> sendCredit(s.attempt(), s.upstream(), s.credit())));
+                        .ifPresent(e ->
+                                e.sendStreamData(s.data(), () -> sendCredit(s.attempt(), s.upstream(), s.credit())));
             case DispatchAction.EndStream s ->
                 removeExchange(s.request(), s.verdict()).ifPresent(e -> e.endStream(s.verdict()));
             case DispatchAction.RefuseRequest r ->
                 removeExchange(r.request(), r.verdict())
-                        .ifPresent(e -> e.refuse(r.verdict(), "see the title for the reason"));
+                        .ifPresent(e -> e.sendRefusal(r.verdict(), "see the title for the reason"));
             case DispatchAction.OpenLink d -> openLink(d.upstream());
             case DispatchAction.CloseLink d ->
                 Optional.ofNullable(dialledLinks.remove(d.upstream())).ifPresent(LinkEndpoint.Dialled::close);
--- a/entry/src/main/java/org/citrontide/entry/http/BodyReader.java
+++ b/entry/src/main/java/org/citrontide/entry/http/BodyReader.java
@@ -8,9 +8,9 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * Reads a request's whole body without blocking.
+ * Reads the complete body of a request without blocking.
  *
- * <p>Invariant: never holds more than the limit and one chunk. Confined to the threads of one request.
+ * <p>Invariant: holds at most the limit and one chunk in memory. Not thread-safe: one thread at a time uses it.
  */
 final class BodyReader implements Runnable {
     private final Content.Source source;
@@ -23,7 +23,7 @@
         this.limit = limit;
     }
 
-    /** Reads a body; the future fails with {@link BodyTooLargeException} above the limit. */
+    /** Reads a body; the future fails with {@link BodyTooLargeException} if it is longer than {@code limit} bytes. */
     static CompletableFuture<byte[]> read(Content.Source source, int limit) {
         BodyReader reader = new BodyReader(source, limit);
         reader.run();
@@ -54,23 +54,23 @@
 
     private boolean append(Content.Chunk chunk) {
         ByteBuffer bytes = chunk.getByteBuffer();
-        boolean fits = body.size() + bytes.remaining() <= limit;
-        if (fits) {
+        boolean isWithinLimit = body.size() + bytes.remaining() <= limit;
+        if (isWithinLimit) {
             body.writeBytes(BufferUtil.toArray(bytes));
         }
         chunk.release();
-        if (!fits) {
+        if (!isWithinLimit) {
             result.completeExceptionally(new BodyTooLargeException());
         }
-        return fits;
+        return isWithinLimit;
     }
 
-    /** The body is longer than the limit. */
+    /** Thrown if a body is longer than the limit. */
     static final class BodyTooLargeException extends Exception {
         private static final long serialVersionUID = 1;
 
         private BodyTooLargeException() {
-            super("the body is longer than the limit", null, false, false);
+            super("the request body is longer than the limit", null, false, false);
         }
     }
 }
--- a/entry/src/main/java/org/citrontide/entry/http/CallerExchange.java
+++ b/entry/src/main/java/org/citrontide/entry/http/CallerExchange.java
@@ -14,27 +14,27 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Writes the answer to one caller.
+ * A caller's request and the means to answer it.
  *
- * <p>Invariants: the answer has one verdict; a streamed answer that did not complete ends with a broken connection and
- * never with a regular end; writes leave in order, one at a time. Safe for use by many threads.
+ * <p>Invariants: the answer has one verdict; a streamed answer that did not complete ends with an aborted connection,
+ * never with a regular end; the chunks of a stream are written in order, one at a time. Thread-safe.
  */
 public final class CallerExchange {
-    /** Header, and trailer of streamed answers, with the verdict. */
+    /** Name of the header that holds the verdict; in streamed answers, a trailer. */
     public static final String VERDICT = "Citrontide-Verdict";
 
-    /** Header with the request's identifier. */
+    /** Name of the header that holds the identifier of the request. */
     public static final String REQUEST_ID = "Citrontide-Request-Id";
 
     private final String requestId;
     private final RequestContext context;
     private final Response response;
     private final Callback callback;
-    private final AtomicReference<Optional<Verdict>> trailer = new AtomicReference<>(Optional.empty());
-    private final Deque<Piece> pieces = new ArrayDeque<>();
-    private volatile Runnable goneListener = () -> {};
-    private boolean writing;
-    private boolean ended;
+    private final AtomicReference<Optional<Verdict>> trailerVerdict = new AtomicReference<>(Optional.empty());
+    private final Deque<StreamChunk> pendingChunks = new ArrayDeque<>();
+    private volatile Runnable disconnectListener = () -> {};
+    private boolean isWriting;
+    private boolean isEnded;
 
     CallerExchange(String requestId, RequestContext context, Response response, Callback callback) {
         this.requestId = requestId;
@@ -46,111 +46,111 @@
     /**
      * Returns the identifier of the request.
      *
-     * @return the identifier that the answer's header carries
+     * @return the identifier that is sent in the header {@value #REQUEST_ID}
      */
     public String requestId() {
         return requestId;
     }
 
     /**
-     * Returns what the filters learned.
+     * Returns the state that the filters have set for the request.
      *
-     * @return the request's context
+     * @return context of the request
      */
     public RequestContext context() {
         return context;
     }
 
     /**
-     * Sets what follows when the caller goes away before its answer has ended.
+     * Sets the listener that runs if the caller disconnects before the end of its answer.
      *
-     * @param listener run at most a few times, on any thread
+     * @param listener runs on any thread, possibly more than once
      */
     public void onDisconnect(Runnable listener) {
-        goneListener = listener;
+        disconnectListener = listener;
     }
 
     /**
-     * Sends a whole answer.
+     * Sends a complete answer. Does nothing if the answer has already ended.
      *
      * @param status HTTP status
      * @param contentType media type, empty if unknown
-     * @param body the whole body
+     * @param body the complete body
      */
-    public void answer(int status, String contentType, byte[] body) {
-        if (end()) {
-            head(status, contentType).put(VERDICT, new Verdict.Completed(status).headerValue());
+    public void sendAnswer(int status, String contentType, byte[] body) {
+        if (markEnded()) {
+            setHead(status, contentType).put(VERDICT, new Verdict.Completed(status).headerValue());
             response.write(true, ByteBuffer.wrap(body), callback);
         }
     }
 
     /**
-     * Sends a refusal.
+     * Sends a refusal. Does nothing if the answer has already ended.
      *
-     * @param verdict why
-     * @param detail what the caller may do, without any secret
+     * @param verdict verdict with the reason for the refusal
+     * @param detail text for the caller on what to do; must not contain secrets
      */
-    public void refuse(Verdict verdict, String detail) {
-        if (!end()) {
+    public void sendRefusal(Verdict verdict, String detail) {
+        if (!markEnded()) {
             return;
         }
-        Problem p = Problem.of(verdict, detail, requestId);
-        HttpFields.Mutable headers = head(p.status(), Problem.CONTENT_TYPE);
+        Problem problem = Problem.of(verdict, detail, requestId);
+        HttpFields.Mutable headers = setHead(problem.status(), Problem.CONTENT_TYPE);
         headers.put(VERDICT, verdict.headerValue());
-        p.retryAfterSeconds().ifPresent(s -> headers.put(HttpHeader.RETRY_AFTER, s));
-        response.write(true, ByteBuffer.wrap(p.body()), callback);
+        problem.retryAfterSeconds().ifPresent(s -> headers.put(HttpHeader.RETRY_AFTER, s));
+        response.write(true, ByteBuffer.wrap(problem.body()), callback);
     }
 
     /**
-     * Begins a streamed answer, whose verdict follows as a trailer.
+     * Begins a streamed answer, whose verdict follows as a trailer if it completes.
      *
      * @param status HTTP status
      * @param contentType media type
      */
     public void beginStream(int status, String contentType) {
-        head(status, contentType).put(HttpHeader.TRAILER, VERDICT);
+        setHead(status, contentType).put(HttpHeader.TRAILER, VERDICT);
         response.setTrailersSupplier(() -> HttpFields.build()
-                .put(VERDICT, trailer.get().map(Verdict::headerValue).orElse("may-have-run")));
+                .put(VERDICT, trailerVerdict.get().map(Verdict::headerValue).orElse("may-have-run")));
     }
 
     /**
-     * Sends a part of a streamed answer.
+     * Sends the next chunk of a streamed answer.
      *
-     * @param data the bytes
-     * @param sent run once they have left
+     * @param data bytes of the chunk
+     * @param onWritten runs once the chunk has been written
      */
-    public void stream(byte[] data, Runnable sent) {
-        enqueue(new Piece(Optional.of(data), sent));
+    public void sendStreamData(byte[] data, Runnable onWritten) {
+        enqueue(new StreamChunk(Optional.of(data), onWritten));
     }
 
     /**
-     * Ends a streamed answer.
+     * Ends a streamed answer. Aborts the connection unless the answer completed.
      *
-     * @param verdict its outcome
+     * @param verdict outcome of the request
      */
     public void endStream(Verdict verdict) {
-        if (!end()) {
+        if (!markEnded()) {
             return;
         }
         if (verdict instanceof Verdict.Completed) {
-            trailer.set(Optional.of(verdict));
-            enqueue(new Piece(Optional.empty(), () -> {}));
+            trailerVerdict.set(Optional.of(verdict));
+            enqueue(new StreamChunk(Optional.empty(), () -> {}));
             return;
         }
-        callback.failed(new BrokenAnswerException());
+        callback.failed(new AnswerAbortedException());
     }
 
-    void callerGone() {
-        goneListener.run();
+    void handleDisconnect() {
+        disconnectListener.run();
     }
 
-    private synchronized boolean end() {
-        boolean first = !ended;
-        ended = true;
-        return first;
+    private synchronized boolean markEnded() {
+        boolean isFirstCall = !isEnded;
+        isEnded = true;
+        return isFirstCall;
     }
 
-    private HttpFields.Mutable head(int status, String contentType) {
+    private HttpFields.Mutable setHead(int status, String contentType) {
         response.setStatus(status);
         HttpFields.Mutable headers = response.getHeaders();
         headers.put(REQUEST_ID, requestId);
@@ -160,53 +160,53 @@
         return headers;
     }
 
-    private void enqueue(Piece piece) {
+    private void enqueue(StreamChunk chunk) {
         synchronized (this) {
-            pieces.add(piece);
-            if (writing) {
+            pendingChunks.add(chunk);
+            if (isWriting) {
                 return;
             }
-            writing = true;
+            isWriting = true;
         }
         writeNext();
     }
 
     private void writeNext() {
-        Piece piece;
+        StreamChunk chunk;
         synchronized (this) {
-            piece = pieces.poll();
-            if (piece == null) {
-                writing = false;
+            chunk = pendingChunks.poll();
+            if (chunk == null) {
+                isWriting = false;
                 return;
             }
         }
-        if (piece.data().isEmpty()) {
+        if (chunk.data().isEmpty()) {
             response.write(true, ByteBuffer.allocate(0), callback);
             return;
         }
         response.write(
                 false,
-                ByteBuffer.wrap(piece.data().get()),
+                ByteBuffer.wrap(chunk.data().get()),
                 Callback.from(
                         () -> {
-                            piece.sent().run();
+                            chunk.onWritten().run();
                             writeNext();
                         },
                         failure -> {
                             callback.failed(failure);
-                            callerGone();
+                            handleDisconnect();
                         }));
     }
 
-    /** A part of a streamed answer; one without data is the end. */
-    private record Piece(Optional<byte[]> data, Runnable sent) {}
+    /** A chunk of a streamed answer; a chunk without data ends the answer. */
+    private record StreamChunk(Optional<byte[]> data, Runnable onWritten) {}
 
-    /** Tells the HTTP server to break the connection off. */
-    private static final class BrokenAnswerException extends Exception {
+    /** Causes the HTTP server to abort the connection. */
+    private static final class AnswerAbortedException extends Exception {
         private static final long serialVersionUID = 1;
 
-        private BrokenAnswerException() {
-            super("the upstream's answer broke off", null, false, false);
+        private AnswerAbortedException() {
+            super("the answer of the upstream is incomplete", null, false, false);
         }
     }
 }
--- a/entry/src/main/java/org/citrontide/entry/http/EntryHandler.java
+++ b/entry/src/main/java/org/citrontide/entry/http/EntryHandler.java
@@ -22,8 +22,8 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Takes callers' HTTP requests, passes them through the filters and hands them to the dispatcher. Safe for use by many
- * threads.
+ * Receives the HTTP requests of callers, applies the filters and passes accepted requests on to the dispatcher.
+ * Thread-safe.
  */
 public final class EntryHandler extends Handler.Abstract.NonBlocking {
     private static final int MAX_BODY_BYTES = 4 * 1024 * 1024;
@@ -34,50 +34,53 @@
     private final ConfigurationService configuration;
     private final ExchangeSink sink;
     private final Clock clock;
-    private final String idPrefix;
-    private final AtomicLong nextId = new AtomicLong(1);
+    private final String requestIdPrefix;
+    private final AtomicLong nextRequestNumber = new AtomicLong(1);
 
     /**
-     * Makes the handler.
+     * Creates the handler.
      *
-     * @param configuration gives the configuration in force
-     * @param sink takes the requests that passed
-     * @param clock source of time
+     * @param configuration source of the configuration in force
+     * @param sink receiver of the accepted and refused requests
+     * @param clock clock of the process
      * @param incarnation random number drawn at the start of this process
      */
     public EntryHandler(ConfigurationService configuration, ExchangeSink sink, Clock clock, long incarnation) {
         this.configuration = configuration;
         this.sink = sink;
         this.clock = clock;
-        this.idPrefix = HexFormat.of().toHexDigits(incarnation) + "-";
+        this.requestIdPrefix = HexFormat.of().toHexDigits(incarnation) + "-";
     }
 
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
-        Configuration c = configuration.inForce();
+        Configuration current = configuration.inForce();
         RequestContext context = new RequestContext(
-                request.getMethod(), request.getHttpURI().getPathQuery(), headers(request), c, clock.nanos());
-        CallerExchange exchange = new CallerExchange(idPrefix + nextId.getAndIncrement(), context, response, callback);
-        request.addFailureListener(failure -> exchange.callerGone());
-        if (c.version() == 0) {
-            refuse(
+                request.getMethod(), request.getHttpURI().getPathQuery(), readHeaders(request), current, clock.nanos());
+        CallerExchange exchange =
+                new CallerExchange(requestIdPrefix + nextRequestNumber.getAndIncrement(), context, response, callback);
+        request.addFailureListener(failure -> exchange.handleDisconnect());
+        if (current.version() == 0) {
+            refuseRequest(
                     exchange,
-                    new Refusal(new Verdict.NotRun(Reason.NOT_READY, Duration.ofSeconds(1)), "no configuration yet"));
+                    new Refusal(
+                            new Verdict.NotRun(Reason.NOT_READY, Duration.ofSeconds(1)),
+                            "this entry has no configuration yet"));
             return true;
         }
         Optional<Refusal> refusal = FilterChain.applyHeaderFilters(context);
         if (refusal.isEmpty() && request.getLength() > MAX_BODY_BYTES) {
-            refusal = Optional.of(bodyTooLarge());
+            refusal = Optional.of(createBodyTooLargeRefusal());
         }
         if (refusal.isPresent()) {
-            refuse(exchange, refusal.get());
+            refuseRequest(exchange, refusal.get());
             return true;
         }
         BodyReader.read(request, MAX_BODY_BYTES).whenComplete((body, failure) -> {
             if (failure == null) {
-                accept(exchange, body);
+                filterWithBody(exchange, body);
             } else if (failure instanceof BodyReader.BodyTooLargeException) {
-                refuse(exchange, bodyTooLarge());
+                refuseRequest(exchange, createBodyTooLargeRefusal());
             } else {
                 callback.failed(failure);
             }
@@ -85,55 +88,55 @@
         return true;
     }
 
-    private void accept(CallerExchange exchange, byte[] body) {
+    private void filterWithBody(CallerExchange exchange, byte[] body) {
         exchange.context().setBody(body);
         Optional<Refusal> refusal = FilterChain.applyBodyFilters(exchange.context());
         if (refusal.isPresent()) {
-            refuse(exchange, refusal.get());
+            refuseRequest(exchange, refusal.get());
             return;
         }
         sink.accept(exchange);
     }
 
-    private void refuse(CallerExchange exchange, Refusal refusal) {
+    private void refuseRequest(CallerExchange exchange, Refusal refusal) {
         sink.requestRefused(exchange, refusal.verdict());
-        exchange.refuse(refusal.verdict(), refusal.detail());
+        exchange.sendRefusal(refusal.verdict(), refusal.detail());
     }
 
-    private static Refusal bodyTooLarge() {
+    private static Refusal createBodyTooLargeRefusal() {
         return new Refusal(
                 new Verdict.NotRun(Reason.BODY_TOO_LARGE, Duration.ZERO),
                 "the body is limited to " + MAX_BODY_BYTES + " bytes");
     }
 
-    private static CallerHeaders headers(Request request) {
+    private static CallerHeaders readHeaders(Request request) {
         return new CallerHeaders(
-                header(request, HttpHeader.AUTHORIZATION.asString()),
-                header(request, HttpHeader.CONTENT_TYPE.asString()),
-                header(request, IDEMPOTENCY_KEY),
-                header(request, REQUEST_TIMEOUT),
-                header(request, URGENCY));
+                readHeader(request, HttpHeader.AUTHORIZATION.asString()),
+                readHeader(request, HttpHeader.CONTENT_TYPE.asString()),
+                readHeader(request, IDEMPOTENCY_KEY),
+                readHeader(request, REQUEST_TIMEOUT),
+                readHeader(request, URGENCY));
     }
 
-    private static Optional<String> header(Request request, String name) {
+    private static Optional<String> readHeader(Request request, String name) {
         return Optional.ofNullable(request.getHeaders().getField(name)).map(HttpField::getValue);
     }
 
-    /** Takes the requests from here on. Implementations are safe for use by many threads. */
+    /** Receives the requests after the filters. Implementations are thread-safe. */
     public interface ExchangeSink {
 
         /**
-         * Takes a request that passed the filters.
+         * Handles a request that passed the filters.
          *
-         * @param exchange the request and the way to its caller
+         * @param exchange the request and the means to answer it
          */
         void accept(CallerExchange exchange);
 
         /**
-         * Learns of a request that a filter turned away.
+         * Records a request that a filter refused, before the refusal is sent.
          *
-         * @param exchange the request
-         * @param verdict the verdict on it
+         * @param exchange the refused request
+         * @param verdict verdict of the refusal
          */
         void requestRefused(CallerExchange exchange, Verdict verdict);
     }
--- a/entry/src/main/java/org/citrontide/entry/http/Problem.java
+++ b/entry/src/main/java/org/citrontide/entry/http/Problem.java
@@ -13,8 +13,8 @@
  * The {@code application/problem+json} body of a refusal. Immutable.
  *
  * @param status HTTP status
- * @param retryAfterSeconds when the caller may ask again, if that can help
- * @param body the document
+ * @param retryAfterSeconds delay in s before a retry, empty if a retry would not help
+ * @param body the document as UTF-8 JSON
  */
 record Problem(int status, Optional<Long> retryAfterSeconds, byte[] body) {
     static final String CONTENT_TYPE = "application/problem+json";
@@ -26,7 +26,8 @@
         return switch (verdict) {
             case Verdict.NotRun n -> build(verdict, n.reason(), n.retryAfter(), detail, requestId);
             case Verdict.MayHaveRun m -> build(verdict, m.reason(), Duration.ZERO, detail, requestId);
-            case Verdict.Completed c -> throw new IllegalArgumentException("a completed request is no problem");
+            case Verdict.Completed c ->
+                throw new IllegalArgumentException("a completed request has no problem document");
         };
     }
 
@@ -40,24 +41,24 @@
                 requestId);
         try {
             byte[] body = JSON.writeValueAsString(d).getBytes(StandardCharsets.UTF_8);
-            return new Problem(reason.httpStatus(), seconds(reason, retryAfter), body);
+            return new Problem(reason.httpStatus(), computeRetryAfter(reason, retryAfter), body);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a document of strings and numbers is always JSON", e);
+            throw new IllegalStateException("a document of strings and numbers can always be written as JSON", e);
         }
     }
 
-    private static Optional<Long> seconds(Reason reason, Duration retryAfter) {
-        boolean helps = switch (reason) {
+    private static Optional<Long> computeRetryAfter(Reason reason, Duration retryAfter) {
+        boolean isRetryUseful = switch (reason) {
             case BAD_REQUEST, UNAUTHENTICATED, UNKNOWN_SERVICE, BODY_TOO_LARGE, CANCELLED, CLAIMED_BEFORE -> false;
             default -> true;
         };
-        if (!helps) {
+        if (!isRetryUseful) {
             return Optional.empty();
         }
-        long up = (retryAfter.toMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
-        return Optional.of(Math.max(1, up));
+        long roundedUpSeconds = (retryAfter.toMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
+        return Optional.of(Math.max(1, roundedUpSeconds));
     }
 
-    /** The fields of the document, as RFC 9457 names them, and two of our own. */
+    /** The members that RFC 9457 defines, and the extension members {@code verdict} and {@code requestId}. */
     private record Document(String type, String title, int status, String detail, String verdict, String requestId) {}
 }
