--- a/entry/src/main/java/org/citrontide/entry/daemon/EntryParts.java
+++ b/entry/src/main/java/org/citrontide/entry/daemon/EntryComponent.java
@@ -12,10 +12,10 @@
 import org.citrontide.store.configuration.ConfigurationService;
 import org.citrontide.wire.link.LinkEndpoint;
 
-/** The parts of an entry, wired by Dagger. */
+/** The Dagger component that provides the objects of an entry. */
 @Singleton
 @Component(modules = EntryModule.class)
-interface EntryParts {
+interface EntryComponent {
     PrometheusRegistry registry();
 
     RandomGenerator random();
--- a/entry/src/main/java/org/citrontide/entry/daemon/EntryDaemon.java
+++ b/entry/src/main/java/org/citrontide/entry/daemon/EntryDaemon.java
@@ -23,33 +23,33 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * An entry as a process.
+ * The process of an entry.
  *
- * <p>Invariant: a planned stop first tells the balancer, then stops accepting, and ends once every open request has its
- * answer or the drain limit has passed. Safe for use by many threads.
+ * <p>Invariant: a graceful stop first reports the entry as not ready to the load balancer, then stops accepting
+ * connections, and ends once every open request has its final answer or the drain limit has passed. Thread-safe.
  */
 public final class EntryDaemon {
     private static final EventLog LOG = EventLog.of(EntryDaemon.class);
-    private static final long POLL_MILLIS = 20;
+    private static final long DRAIN_POLL_MILLIS = 20;
     private static final int IDLE_TIMEOUT_MS = 30_000;
     private static final int OUTPUT_BUFFER_BYTES = 4096;
 
     private final EntrySettings settings;
-    private final EntryParts parts;
+    private final EntryComponent component;
     private final Server server;
     private final ServerConnector connector;
     private final AtomicBoolean stopping = new AtomicBoolean();
     private final CountDownLatch stopped = new CountDownLatch(1);
 
     /**
-     * Builds the parts.
+     * Creates the entry; {@link #start()} starts it.
      *
-     * @param settings the entry's settings
+     * @param settings settings of the entry
      * @param seed seed of all random choices
      */
     public EntryDaemon(EntrySettings settings, long seed) {
         this.settings = settings;
-        this.parts = DaggerEntryParts.builder()
+        this.component = DaggerEntryComponent.builder()
                 .entryModule(new EntryModule(settings, seed))
                 .build();
         QueuedThreadPool pool = new QueuedThreadPool(settings.httpThreads(), 2);
@@ -66,67 +66,68 @@
     /**
      * Starts the entry.
      *
-     * @throws IOException if an address can't be used
+     * @throws IOException if the entry can't listen on one of its addresses
      */
     public void start() throws IOException {
-        ProcessSettings p = settings.process();
-        parts.dispatch().start(a -> parts.links().dial(a));
-        parts.configuration().start();
-        parts.links().listen(p.linkAddress());
-        for (InetSocketAddress seed : p.seeds()) {
-            parts.links().dial(seed);
+        ProcessSettings process = settings.process();
+        component.dispatch().start(a -> component.links().dial(a));
+        component.configuration().start();
+        component.links().listen(process.linkAddress());
+        for (InetSocketAddress seed : process.seeds()) {
+            component.links().dial(seed);
         }
-        new VmListWatcher(parts.store(), settings.zones(), parts.random(), this::listed).start();
-        new AdminServer(p.adminAddress(), parts.registry(), this::isReady);
+        new VmListWatcher(component.store(), settings.zones(), component.random(), this::handleVmLists).start();
+        new AdminServer(process.adminAddress(), component.registry(), this::isReady);
         connector.setHost(settings.callerAddress().getHostString());
         connector.setPort(settings.callerAddress().getPort());
         connector.setIdleTimeout(IDLE_TIMEOUT_MS);
         connector.setReuseAddress(true);
         server.addConnector(connector);
         server.addBean(new NetworkConnectionLimit(settings.maxConnections(), connector));
-        server.setHandler(parts.handler());
+        server.setHandler(component.handler());
         try {
             server.start();
         } catch (IOException e) {
             throw e;
         } catch (Exception e) {
-            throw new IOException("can't serve on " + settings.callerAddress(), e);
+            throw new IOException("can't accept callers' requests on " + settings.callerAddress(), e);
         }
         LOG.info("started").with("caller-address", settings.callerAddress()).write();
     }
 
-    /** Stops gracefully; returns when the process may exit. A second call waits for the first. */
+    /** Stops the entry gracefully and returns when the process may exit. A second call waits for the first. */
     public void stop() {
         if (!stopping.compareAndSet(false, true)) {
             awaitStopped();
             return;
         }
-        LOG.info("stopping").with("open", parts.dispatch().openRequests()).write();
-        pause(settings.process().drainNotice().toMillis());
+        LOG.info("stopping").with("open", component.dispatch().openRequests()).write();
+        sleep(settings.process().drainNotice().toMillis());
         connector.close();
-        long end = System.nanoTime() + settings.process().drainLimit().toNanos();
-        while (parts.dispatch().openRequests() > 0 && System.nanoTime() < end) {
-            pause(POLL_MILLIS);
+        long endNanos = System.nanoTime() + settings.process().drainLimit().toNanos();
+        while (component.dispatch().openRequests() > 0 && System.nanoTime() < endNanos) {
+            sleep(DRAIN_POLL_MILLIS);
         }
-        LOG.info("stopped").with("cut-off", parts.dispatch().openRequests()).write();
+        LOG.info("stopped").with("cut-off", component.dispatch().openRequests()).write();
         stopped.countDown();
     }
 
     private boolean isReady() {
-        return !stopping.get() && parts.configuration().inForce().version() > 0;
+        return !stopping.get() && component.configuration().inForce().version() > 0;
     }
 
-    private void listed(Map<String, List<ListedVm>> byZone) {
+    private void handleVmLists(Map<String, List<ListedVm>> byZone) {
         List<ListedVm> upstreams = new ArrayList<>();
         byZone.values()
                 .forEach(l -> l.stream().filter(v -> !v.service().isEmpty()).forEach(upstreams::add));
-        parts.dispatch().submit(new DispatchEvent.VmListChanged(upstreams));
-        List<String> entries = byZone.getOrDefault(settings.process().zone(), List.of()).stream()
+        component.dispatch().submit(new DispatchEvent.VmListChanged(upstreams));
+        List<String> entryVms = byZone.getOrDefault(settings.process().zone(), List.of()).stream()
                 .filter(v -> v.service().isEmpty() && !v.isLeaving())
                 .map(ListedVm::vm)
                 .toList();
-        parts.configuration()
-                .setWatcher(WatcherSelector.isWatcher(settings.process().vm(), entries));
+        component
+                .configuration()
+                .setWatcher(WatcherSelector.isWatcher(settings.process().vm(), entryVms));
     }
 
     private void awaitStopped() {
@@ -137,7 +138,7 @@
         }
     }
 
-    private static void pause(long millis) {
+    private static void sleep(long millis) {
         try {
             Thread.sleep(millis);
         } catch (InterruptedException e) {
--- a/entry/src/main/java/org/citrontide/entry/daemon/EntryModule.java
+++ b/entry/src/main/java/org/citrontide/entry/daemon/EntryModule.java
@@ -23,7 +23,7 @@
 import org.citrontide.wire.generated.ProcessIdentity;
 import org.citrontide.wire.link.LinkEndpoint;
 
-/** Builds the parts of an entry. Used once, at the start of the process. */
+/** The Dagger module that creates the objects of an entry. Used once, when the process starts. */
 @Module
 final class EntryModule {
     private static final int LINK_THREADS = 2;
@@ -67,19 +67,19 @@
 
     @Provides
     @Singleton
-    DispatchShell dispatch(RandomGenerator r, EntryMetrics metrics) {
+    DispatchShell dispatch(RandomGenerator generator, EntryMetrics metrics) {
         String zone = settings.process().zone();
         UpstreamSubset subset = new UpstreamSubset(settings.process().vm(), zone, settings.maxLinks());
-        return new DispatchShell(zone, subset, settings.maxOpenRequests(), r, Clock.SYSTEM, metrics);
+        return new DispatchShell(zone, subset, settings.maxOpenRequests(), generator, Clock.SYSTEM, metrics);
     }
 
     @Provides
     @Singleton
-    ConfigurationService configuration(StoreClient store, RandomGenerator r, DispatchShell dispatch) {
+    ConfigurationService configuration(StoreClient store, RandomGenerator generator, DispatchShell dispatch) {
         return new ConfigurationService(
                 new StoredConfiguration(store),
                 Clock.SYSTEM,
-                r,
+                generator,
                 c -> dispatch.submit(new DispatchEvent.ConfigurationChanged(c)));
     }
 
--- a/entry/src/main/java/org/citrontide/entry/daemon/EntrySettings.java
+++ b/entry/src/main/java/org/citrontide/entry/daemon/EntrySettings.java
@@ -10,14 +10,14 @@
 /**
  * The settings of an entry. Immutable.
  *
- * @param process settings that every process has
- * @param callerAddress where callers' requests are accepted
- * @param zones availability zones whose upstreams are used, the own one first
- * @param maxTeamLabels teams that have metric labels of their own
- * @param httpThreads most threads for callers' connections
- * @param maxConnections most connections of callers; more wait to be accepted
- * @param maxOpenRequests most requests without a final answer; more are refused at once
- * @param maxLinks links to sidecars wanted in all
+ * @param process settings common to all processes
+ * @param callerAddress address on which callers' requests are accepted
+ * @param zones availability zones whose upstreams are used, the entry's own zone first
+ * @param maxTeamLabels maximum number of teams that have their own metric label
+ * @param httpThreads maximum number of threads for the connections of callers
+ * @param maxConnections maximum number of connections of callers; further ones wait to be accepted
+ * @param maxOpenRequests maximum number of requests without a final answer; further ones are refused immediately
+ * @param maxLinks target number of links to sidecars over all services
  */
 public record EntrySettings(
         ProcessSettings process,
@@ -30,7 +30,7 @@
         int maxLinks) {
     private static final int MAX_LABELS = 1000;
     private static final int DEFAULT_LABELS = 300;
-    private static final int LEAST_THREADS = 4;
+    private static final int MIN_THREADS = 4;
     private static final int MAX_THREADS = 64;
     private static final int DEFAULT_THREADS = 8;
     private static final int MAX_CONNECTIONS = 100_000;
@@ -39,29 +39,30 @@
     private static final int MAX_LINKS = 10_000;
     private static final int DEFAULT_LINKS = 64;
 
-    /** Copies the list. */
+    /** Copies the list of zones. */
     public EntrySettings {
         zones = List.copyOf(zones);
     }
 
     /**
-     * Reads a settings file.
+     * Parses and validates a settings file.
      *
-     * @param file name used in messages
+     * @param file name of the file, used in error messages
      * @param text content of the file
-     * @return the settings or every mistake
+     * @return the settings or all violations
      */
     public static ValidationResult<EntrySettings> parse(String file, String text) {
         TomlSection root = TomlSection.parse(file, text);
         ProcessSettings process = ProcessSettings.read(root);
-        InetSocketAddress caller = ProcessSettings.readAddress(root, "caller_address");
+        InetSocketAddress callerAddress = ProcessSettings.readAddress(root, "caller_address");
         List<String> zones = root.strings("zones");
         int labels = root.integer("max_team_labels", 0, MAX_LABELS, DEFAULT_LABELS);
-        int threads = root.integer("http_threads", LEAST_THREADS, MAX_THREADS, DEFAULT_THREADS);
+        int threads = root.integer("http_threads", MIN_THREADS, MAX_THREADS, DEFAULT_THREADS);
         int connections = root.integer("max_connections", 1, MAX_CONNECTIONS, DEFAULT_CONNECTIONS);
-        int open = root.integer("max_open_requests", 1, MAX_CONNECTIONS, DEFAULT_OPEN_REQUESTS);
+        int openRequests = root.integer("max_open_requests", 1, MAX_CONNECTIONS, DEFAULT_OPEN_REQUESTS);
         int links = root.integer("max_links", 1, MAX_LINKS, DEFAULT_LINKS);
-        List<String> used = zones.isEmpty() ? List.of(process.zone()) : zones;
-        return root.finish(() -> new EntrySettings(process, caller, used, labels, threads, connections, open, links));
+        List<String> usedZones = zones.isEmpty() ? List.of(process.zone()) : zones;
+        return root.finish(() -> new EntrySettings(
+                process, callerAddress, usedZones, labels, threads, connections, openRequests, links));
     }
 }
--- a/entry/src/main/java/org/citrontide/entry/daemon/VmListWatcher.java
+++ b/entry/src/main/java/org/citrontide/entry/daemon/VmListWatcher.java
@@ -15,30 +15,30 @@
 import org.citrontide.store.client.StoreClient;
 
 /**
- * Watches the platform's lists of VMs of some zones.
+ * Watches the platform's VM lists of the given zones.
  *
- * <p>Invariant: a list that can't be read stays as it was last read; at most one call is outstanding for a zone. Its
- * own thread owns all state. Safe for use by many threads.
+ * <p>Invariants: while a list can't be read, the last list read remains in use; at most one call per zone is in flight.
+ * Thread-safe: only the watcher's own thread accesses the lists.
  */
 public final class VmListWatcher implements AutoCloseable {
-    private static final Duration WAIT = Duration.ofSeconds(20);
-    private static final int RETRY_MS = 2000;
-    private static final int PAUSE_MS = 50;
+    private static final Duration LONG_POLL_TIMEOUT = Duration.ofSeconds(20);
+    private static final int MEAN_RETRY_DELAY_MS = 2000;
+    private static final int MIN_POLL_INTERVAL_MS = 50;
 
     private final StoreClient store;
     private final List<String> zones;
     private final RandomGenerator random;
     private final Consumer<Map<String, List<ListedVm>>> listener;
-    private final ScheduledExecutorService thread;
+    private final ScheduledExecutorService executor;
     private final Map<String, StoreClient.VmList> lists = new HashMap<>();
 
     /**
-     * Prepares the watcher; {@link #start()} starts it.
+     * Creates the watcher; {@link #start()} starts it.
      *
-     * @param store client of the platform's service
-     * @param zones the zones to watch
+     * @param store client of the platform's store
+     * @param zones availability zones to watch
      * @param random source of jitter
-     * @param listener gets the lists by zone after each change, on the watcher's thread
+     * @param listener receives all lists by zone after each read, on the watcher's thread
      */
     public VmListWatcher(
             StoreClient store,
@@ -49,38 +49,38 @@
         this.zones = List.copyOf(zones);
         this.random = random;
         this.listener = listener;
-        this.thread = Executors.newSingleThreadScheduledExecutor(r -> {
+        this.executor = Executors.newSingleThreadScheduledExecutor(r -> {
             Thread t = new Thread(r, "vm-lists");
             t.setDaemon(true);
             return t;
         });
     }
 
-    /** Starts one watch for each zone. */
+    /** Starts to watch the list of each zone. */
     public void start() {
-        zones.forEach(z -> thread.execute(() -> watch(z)));
+        zones.forEach(z -> executor.execute(() -> requestList(z)));
     }
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 
-    private void watch(String zone) {
-        long after = lists.containsKey(zone) ? lists.get(zone).revision() : 0;
-        store.vms(zone, after, WAIT).thenAcceptAsync(list -> watched(zone, list), thread);
+    private void requestList(String zone) {
+        long lastRevision = lists.containsKey(zone) ? lists.get(zone).revision() : 0;
+        store.vms(zone, lastRevision, LONG_POLL_TIMEOUT).thenAcceptAsync(list -> handleList(zone, list), executor);
     }
 
-    private void watched(String zone, Optional<StoreClient.VmList> list) {
-        long pause = PAUSE_MS;
+    private void handleList(String zone, Optional<StoreClient.VmList> list) {
+        long delayMillis = MIN_POLL_INTERVAL_MS;
         if (list.isPresent()) {
             lists.put(zone, list.get());
             Map<String, List<ListedVm>> byZone = new HashMap<>();
             lists.forEach((z, l) -> byZone.put(z, l.vms()));
             listener.accept(byZone);
         } else {
-            pause = RETRY_MS / 2 + random.nextInt(RETRY_MS);
+            delayMillis = MEAN_RETRY_DELAY_MS / 2 + random.nextInt(MEAN_RETRY_DELAY_MS);
         }
-        thread.schedule(() -> watch(zone), pause, TimeUnit.MILLISECONDS);
+        executor.schedule(() -> requestList(zone), delayMillis, TimeUnit.MILLISECONDS);
     }
 }
