--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
@@ -149,7 +149,7 @@
             case CREDIT ->
                 Optional.ofNullable(calls.get(
                                 new AttemptKey(link.id(), frame.getCredit().getId())))
-                        .ifPresent(c -> c.grant(frame.getCredit().getBytes()));
+                        .ifPresent(c -> c.grantCredit(frame.getCredit().getBytes()));
             default ->
                 LOG.debug("frame-unexpected").with("kind", frame.getBodyCase()).write();
         }
@@ -255,9 +255,9 @@
         Open o = open.get(r.id());
         StoredResponse a = r.answer();
         Forwarder f = new Forwarder(r.id(), o);
-        f.head(a.status(), a.contentType());
+        f.headReceived(a.status(), a.contentType());
         if (a.body().length > 0) {
-            f.chunk(0, a.body());
+            f.chunkReceived(0, a.body());
         }
         end(r.id(), new Verdict.Completed(a.status()), a.body().length);
     }
@@ -333,7 +333,7 @@
         }
 
         @Override
-        public void head(int status, String contentType) {
+        public void headReceived(int status, String contentType) {
             o.link()
                     .send(Frame.newBuilder()
                             .setAnswerHead(AnswerHead.newBuilder()
@@ -344,7 +344,7 @@
         }
 
         @Override
-        public void chunk(long offset, byte[] data) {
+        public void chunkReceived(long offset, byte[] data) {
             o.link()
                     .send(Frame.newBuilder()
                             .setAnswerChunk(AnswerChunk.newBuilder()
@@ -355,7 +355,7 @@
         }
 
         @Override
-        public void ended(CallOutcome outcome) {
+        public void callEnded(CallOutcome outcome) {
             duty.put(new SidecarEvent.ForGate(new GateEvent.CallEnded(number, outcome)));
         }
     }
--- a/sidecar/src/main/java/org/citrontide/sidecar/upstream/UpstreamCall.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/upstream/UpstreamCall.java
@@ -16,210 +16,213 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * One call to the upstream, whose answer passes through as the entry grants credit.
+ * One call to the upstream, whose answer is passed on as far as the entry has granted credit.
  *
- * <p>Invariants: no more bytes are passed on than were granted, but for the chunk that used the last credit up; the end
- * is reported once, after the last byte. The call counts as never sent only if it failed before its first byte left.
- * Safe for use by many threads.
+ * <p>Invariants: no more bytes are passed on than were granted, except that the chunk that uses up the credit is passed
+ * on completely; the end is reported once, after the last byte. The call is reported as never sent only if it failed
+ * before its first byte was sent. Thread-safe.
  */
 public final class UpstreamCall {
-    private static final int MAX_KEPT_BYTES = 64 * 1024;
+    private static final int MAX_RETAINED_BYTES = 64 * 1024;
 
     private final AnswerListener listener;
-    private final boolean keepAnswer;
-    private final AtomicBoolean begun = new AtomicBoolean();
-    private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
-    private long window;
+    private final boolean isAnswerRetained;
+    private final AtomicBoolean isSendStarted = new AtomicBoolean();
+    private final ByteArrayOutputStream retainedBody = new ByteArrayOutputStream();
+    private long creditBytes;
     private long offset;
-    private Optional<Content.Source> paused = Optional.empty();
+    private Optional<Content.Source> pausedSource = Optional.empty();
     private volatile Request request;
     private volatile int status;
     private volatile String contentType = "";
 
     /**
-     * Prepares a call.
+     * Creates a call; {@link #send} sends its request.
      *
-     * @param window bytes that the entry is ready to take
-     * @param keepAnswer whether the whole answer is reported at the end, if it is small
-     * @param listener gets the answer
+     * @param creditBytes initial credit: number of bytes of the body that the entry is ready to receive
+     * @param isAnswerRetained whether the complete answer is reported at the end, provided that it is small
+     * @param listener receives the answer
      */
-    public UpstreamCall(long window, boolean keepAnswer, AnswerListener listener) {
-        this.window = window;
-        this.keepAnswer = keepAnswer;
+    public UpstreamCall(long creditBytes, boolean isAnswerRetained, AnswerListener listener) {
+        this.creditBytes = creditBytes;
+        this.isAnswerRetained = isAnswerRetained;
         this.listener = listener;
     }
 
     /**
      * Sends the request.
      *
-     * @param r the request, complete but for its listeners
-     * @param latest checked at the moment the first byte would leave
+     * @param newRequest the request, complete except for its listeners
+     * @param startCheck evaluated immediately before the first byte is sent
      */
-    public void send(Request r, StartCheck latest) {
-        request = r;
-        r.onRequestBegin(x -> {
-            if (!latest.isInTime()) {
+    public void send(Request newRequest, StartCheck startCheck) {
+        request = newRequest;
+        newRequest.onRequestBegin(x -> {
+            if (!startCheck.isInTime()) {
                 x.abort(new StartTooLateException());
                 return;
             }
-            begun.set(true);
+            isSendStarted.set(true);
         });
-        r.onResponseHeaders(this::head);
-        r.onResponseContentSource((response, source) -> read(source));
-        r.send(this::complete);
+        newRequest.onResponseHeaders(this::handleHead);
+        newRequest.onResponseContentSource((response, source) -> readAnswer(source));
+        newRequest.send(this::handleEnd);
     }
 
-    /** Breaks the call off; its end is reported as usual. */
+    /** Aborts the call. The end of the call is still reported. */
     public void abort() {
-        Request r = request;
-        if (r != null) {
-            r.abort(new CallAbortedException());
+        Request current = request;
+        if (current != null) {
+            current.abort(new CallAbortedException());
         }
     }
 
     /**
-     * Grants more bytes.
+     * Grants further credit.
      *
-     * @param bytes how many
+     * @param bytes number of further bytes of the body that may be passed on
      */
-    public void grant(int bytes) {
+    public void grantCredit(int bytes) {
         Optional<Content.Source> source;
         synchronized (this) {
-            window += bytes;
-            source = window > 0 ? paused : Optional.empty();
+            creditBytes += bytes;
+            source = creditBytes > 0 ? pausedSource : Optional.empty();
             if (source.isPresent()) {
-                paused = Optional.empty();
+                pausedSource = Optional.empty();
             }
         }
-        source.ifPresent(this::read);
+        source.ifPresent(this::readAnswer);
     }
 
-    private void head(Response response) {
+    private void handleHead(Response response) {
         status = response.getStatus();
         contentType = Optional.ofNullable(response.getHeaders().get(HttpHeader.CONTENT_TYPE))
                 .orElse("");
-        listener.head(status, contentType);
+        listener.headReceived(status, contentType);
     }
 
-    private void read(Content.Source source) {
+    private void readAnswer(Content.Source source) {
         while (true) {
-            if (pause(source)) {
+            if (pauseWithoutCredit(source)) {
                 return;
             }
             Content.Chunk chunk = source.read();
             if (chunk == null) {
-                source.demand(() -> read(source));
+                source.demand(() -> readAnswer(source));
                 return;
             }
             if (Content.Chunk.isFailure(chunk)) {
                 return;
             }
-            pass(chunk);
+            forward(chunk);
             if (chunk.isLast()) {
                 return;
             }
         }
     }
 
-    private synchronized boolean pause(Content.Source source) {
-        if (window > 0) {
+    private synchronized boolean pauseWithoutCredit(Content.Source source) {
+        if (creditBytes > 0) {
             return false;
         }
-        paused = Optional.of(source);
+        pausedSource = Optional.of(source);
         return true;
     }
 
-    private void pass(Content.Chunk chunk) {
+    private void forward(Content.Chunk chunk) {
         ByteBuffer buffer = chunk.getByteBuffer();
         byte[] data = BufferUtil.toArray(buffer);
         chunk.release();
         if (data.length == 0) {
             return;
         }
-        long at;
+        long chunkOffset;
         synchronized (this) {
-            at = offset;
+            chunkOffset = offset;
             offset += data.length;
-            window -= data.length;
+            creditBytes -= data.length;
         }
-        if (keepAnswer && kept.size() + data.length <= MAX_KEPT_BYTES) {
-            kept.writeBytes(data);
+        if (isAnswerRetained && retainedBody.size() + data.length <= MAX_RETAINED_BYTES) {
+            retainedBody.writeBytes(data);
         }
-        listener.chunk(at, data);
+        listener.chunkReceived(chunkOffset, data);
     }
 
-    private void complete(Result result) {
+    private void handleEnd(Result result) {
         long length;
         synchronized (this) {
             length = offset;
         }
         if (result.isSucceeded()) {
-            Optional<StoredResponse> answer = keepAnswer && kept.size() == length
-                    ? Optional.of(new StoredResponse(status, contentType, kept.toByteArray()))
+            Optional<StoredResponse> answer = isAnswerRetained && retainedBody.size() == length
+                    ? Optional.of(new StoredResponse(status, contentType, retainedBody.toByteArray()))
                     : Optional.empty();
-            listener.ended(new CallOutcome.Answered(status, length, answer));
-        } else if (begun.get()) {
-            listener.ended(new CallOutcome.AnswerLost(status == 0 ? Reason.CONNECTION_LOST : Reason.ANSWER_BROKEN));
+            listener.callEnded(new CallOutcome.Answered(status, length, answer));
+        } else if (isSendStarted.get()) {
+            listener.callEnded(new CallOutcome.AnswerLost(status == 0 ? Reason.CONNECTION_LOST : Reason.ANSWER_BROKEN));
         } else if (result.getFailure() instanceof StartTooLateException) {
-            listener.ended(new CallOutcome.NeverSent(Reason.DEADLINE));
+            listener.callEnded(new CallOutcome.NeverSent(Reason.DEADLINE));
         } else {
-            listener.ended(new CallOutcome.NeverSent(Reason.UPSTREAM_UNREACHABLE));
+            listener.callEnded(new CallOutcome.NeverSent(Reason.UPSTREAM_UNREACHABLE));
         }
     }
 
-    /** Gets the answer of a call, in order. Called on the HTTP client's threads. */
+    /**
+     * Receives the parts of an answer in order. Called on the threads of the HTTP client and on those that call
+     * {@link UpstreamCall#grantCredit}.
+     */
     public interface AnswerListener {
 
         /**
-         * The answer's head arrived.
+         * The status and the headers arrived.
          *
          * @param status HTTP status
          * @param contentType media type, empty if unknown
          */
-        void head(int status, String contentType);
+        void headReceived(int status, String contentType);
 
         /**
-         * A part of the body arrived.
+         * A chunk of the body arrived.
          *
-         * @param offset position of its first byte
-         * @param data the bytes
+         * @param offset offset of its first byte in the body
+         * @param data bytes of the chunk
          */
-        void chunk(long offset, byte[] data);
+        void chunkReceived(long offset, byte[] data);
 
         /**
          * The call ended.
          *
-         * @param outcome how
+         * @param outcome outcome of the call
          */
-        void ended(CallOutcome outcome);
+        void callEnded(CallOutcome outcome);
     }
 
-    /** Says whether a request may still leave. */
+    /** Checks whether a request may still be sent. */
     public interface StartCheck {
 
         /**
-         * Compares the clocks with the latest start.
+         * Compares the current time with the latest start.
          *
-         * @return true if the first byte may leave now
+         * @return true if the first byte may be sent now
          */
         boolean isInTime();
     }
 
-    /** The request would have left too late. */
+    /** Signals that a request would be sent after its latest start. */
     private static final class StartTooLateException extends Exception {
         private static final long serialVersionUID = 1;
 
         private StartTooLateException() {
-            super("the latest start has passed", null, false, false);
+            super("the latest start of the request has passed", null, false, false);
         }
     }
 
-    /** Nobody waits for the answer any more. */
+    /** Signals that the answer of a call is no longer needed. */
     private static final class CallAbortedException extends Exception {
         private static final long serialVersionUID = 1;
 
         private CallAbortedException() {
-            super("nobody waits for the answer", null, false, false);
+            super("the answer of the call is no longer needed", null, false, false);
         }
     }
 }
