--- a/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarModule.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarModule.java
@@ -13,7 +13,7 @@
 import org.citrontide.sidecar.gate.ClaimStore;
 import org.citrontide.sidecar.gate.GateShell;
 import org.citrontide.sidecar.gate.SidecarMetrics;
-import org.citrontide.sidecar.gate.UpstreamTarget;
+import org.citrontide.sidecar.gate.UpstreamRequestFactory;
 import org.citrontide.store.client.HttpClients;
 import org.citrontide.store.client.StoreClient;
 import org.citrontide.store.configuration.ConfigurationService;
@@ -61,7 +61,7 @@
             return new GateShell(
                     settings.service(),
                     incarnation,
-                    new UpstreamTarget(
+                    new UpstreamRequestFactory(
                             HttpClients.start("upstream-client", UPSTREAM_THREADS, settings.upstreamConnections()),
                             settings.upstreamAddress()),
                     new ClaimStore(store, settings.service()),
@@ -75,7 +75,8 @@
     @Provides
     @Singleton
     ConfigurationService configuration(StoreClient store, GateShell gate) {
-        return new ConfigurationService(new StoredConfiguration(store), Clock.SYSTEM, random.split(), gate::configured);
+        return new ConfigurationService(
+                new StoredConfiguration(store), Clock.SYSTEM, random.split(), gate::changeConfiguration);
     }
 
     @Provides
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/ClaimStore.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/ClaimStore.java
@@ -10,17 +10,17 @@
 import org.citrontide.store.client.StoreReply;
 import org.citrontide.wire.codec.ClaimCodec;
 
-/** Carries out the calls of a claim ledger at the platform's service. Safe for use by many threads. */
+/** Reads and writes the claim buckets of one service in the platform's store. Thread-safe. */
 public final class ClaimStore {
-    private static final String PREFIX = "claims/";
+    private static final String KEY_PREFIX = "claims/";
 
     private final StoreClient store;
     private final String service;
 
     /**
-     * Makes the store of one service's claims.
+     * Creates the store of the claims of one service.
      *
-     * @param store client of the platform's service
+     * @param store client of the platform's store
      * @param service name of the service
      */
     public ClaimStore(StoreClient store, String service) {
@@ -29,15 +29,15 @@
     }
 
     CompletableFuture<ClaimEvent> read(ClaimAction.ReadBucket r) {
-        return store.get(key(r.bucket())).thenApply(reply -> switch (reply) {
-            case StoreReply.Value v -> decoded(r.bucket(), v);
+        return store.get(bucketKey(r.bucket())).thenApply(reply -> switch (reply) {
+            case StoreReply.Value v -> decode(r.bucket(), v);
             case StoreReply.Missing m -> new ClaimEvent.BucketRead(r.bucket(), 0, List.of());
             default -> new ClaimEvent.BucketFailed(r.bucket(), false);
         });
     }
 
     CompletableFuture<ClaimEvent> write(ClaimAction.WriteBucket w) {
-        return store.put(key(w.bucket()), w.expectedRevision(), ClaimCodec.encode(w.claims()))
+        return store.put(bucketKey(w.bucket()), w.expectedRevision(), ClaimCodec.encode(w.claims()))
                 .thenApply(reply -> switch (reply) {
                     case StoreReply.Written x -> new ClaimEvent.BucketWritten(w.bucket(), x.revision());
                     case StoreReply.Conflict c -> new ClaimEvent.BucketConflict(w.bucket());
@@ -46,11 +46,11 @@
                 });
     }
 
-    private String key(int bucket) {
-        return PREFIX + service + "/" + bucket;
+    private String bucketKey(int bucket) {
+        return KEY_PREFIX + service + "/" + bucket;
     }
 
-    private static ClaimEvent decoded(int bucket, StoreReply.Value v) {
+    private static ClaimEvent decode(int bucket, StoreReply.Value v) {
         try {
             return new ClaimEvent.BucketRead(bucket, v.revision(), ClaimCodec.decode(v.value()));
         } catch (InvalidProtocolBufferException e) {
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
@@ -41,86 +41,87 @@
 import org.citrontide.wire.link.Link;
 
 /**
- * Runs the gate on a thread of its own, and joins it to the links, the upstream and the platform's service.
+ * Shell of the {@link SidecarGate}: runs it on the gate thread, turns frames and results of calls into its events, and
+ * performs its actions on links, the upstream and the platform's store.
  *
- * <p>Invariant: the gate and the attempts under way are touched by the gate thread alone. Safe for use by many threads.
+ * <p>Invariant: only the gate thread accesses the gate and the open attempts. Thread-safe.
  */
 public final class GateShell implements ProcessLinks.RoleLinks, AutoCloseable {
     private static final EventLog LOG = EventLog.of(GateShell.class);
-    private static final int RING = 16_384;
+    private static final int QUEUE_CAPACITY = 16_384;
     private static final int LOG_LINES_PER_SECOND = 50;
-    private static final long TICK_NANOS = Duration.ofMillis(500).toNanos();
-    private static final long REPORT_GAP_NANOS = Duration.ofSeconds(1).toNanos();
-    private static final Duration RING_FULL_RETRY_AFTER = Duration.ofSeconds(1);
+    private static final long TICK_INTERVAL_NANOS = Duration.ofMillis(500).toNanos();
+    private static final long MIN_REPORT_INTERVAL_NANOS = Duration.ofSeconds(1).toNanos();
+    private static final Duration QUEUE_FULL_RETRY_AFTER = Duration.ofSeconds(1);
 
     private final String service;
-    private final UpstreamTarget target;
+    private final UpstreamRequestFactory requestFactory;
     private final ClaimStore claims;
     private final Clock clock;
     private final SidecarMetrics metrics;
     private final SidecarGate gate;
-    private final EventLoop<SidecarEvent> duty;
-    private final Map<Long, Open> open = new HashMap<>();
-    private final Map<AttemptKey, Long> numbers = new HashMap<>();
+    private final EventLoop<SidecarEvent> eventLoop;
+    private final Map<Long, OpenAttempt> openAttempts = new HashMap<>();
+    private final Map<AttemptKey, Long> attemptNumbers = new HashMap<>();
     private final Map<AttemptKey, UpstreamCall> calls = new ConcurrentHashMap<>();
     private final Map<Long, Link> links = new HashMap<>();
-    private final Map<Long, AttemptSequence> sequences = new HashMap<>();
-    private final LogRateLimiter logBudget = new LogRateLimiter(LOG_LINES_PER_SECOND);
+    private final Map<Long, AttemptSequence> attemptSequences = new HashMap<>();
+    private final LogRateLimiter logRateLimiter = new LogRateLimiter(LOG_LINES_PER_SECOND);
     private final CountDownLatch drained = new CountDownLatch(1);
     private SidecarReport lastReport = new SidecarReport(false, 0, 0, 0, 0, 0);
     private long lastReportNanos;
     private long nextTickNanos;
-    private long nextNumber = 1;
+    private long nextAttemptNumber = 1;
 
     /**
-     * Prepares the shell; {@link #start()} starts it.
+     * Creates the shell; {@link #start()} starts its thread.
      *
      * @param service name of the service behind this sidecar
      * @param incarnation random number drawn at the start of this process
-     * @param target the upstream
-     * @param claims the claims of the service
-     * @param clock source of time
-     * @param metrics the sidecar's metrics
+     * @param requestFactory factory of the requests to the upstream
+     * @param claims store of the claims of the service
+     * @param clock clock of the process
+     * @param metrics metrics of the sidecar
      */
     public GateShell(
             String service,
             long incarnation,
-            UpstreamTarget target,
+            UpstreamRequestFactory requestFactory,
             ClaimStore claims,
             Clock clock,
             SidecarMetrics metrics) {
         this.service = service;
-        this.target = target;
+        this.requestFactory = requestFactory;
         this.claims = claims;
         this.clock = clock;
         this.metrics = metrics;
         this.gate = new SidecarGate(incarnation);
-        this.duty = new EventLoop<>("gate", RING, new GateHandler());
+        this.eventLoop = new EventLoop<>("gate", QUEUE_CAPACITY, new GateHandler());
     }
 
-    /** Starts the thread. */
+    /** Starts the gate thread. */
     public void start() {
-        duty.start();
+        eventLoop.start();
     }
 
     /**
-     * Takes a configuration that is in force.
+     * Queues a new configuration for the gate. Ignores it if it does not contain the service.
      *
-     * @param c the configuration
+     * @param c the configuration that took effect
      */
-    public void configured(Configuration c) {
+    public void changeConfiguration(Configuration c) {
         Optional.ofNullable(c.services().get(service))
-                .ifPresent(f -> duty.put(new SidecarEvent.ForGate(new GateEvent.ConfigurationChanged(f))));
+                .ifPresent(f -> eventLoop.put(new SidecarEvent.GateEventRaised(new GateEvent.ConfigurationChanged(f))));
     }
 
     /**
-     * Stops taking work and waits for what runs.
+     * Refuses new attempts and waits until no attempt holds a slot any more.
      *
-     * @param limit longest time to wait
-     * @return false if something still ran at the end
+     * @param limit maximum time to wait
+     * @return false if the drain was not complete within the limit
      */
     public boolean drain(Duration limit) {
-        duty.put(new SidecarEvent.ForGate(new GateEvent.DrainRequested()));
+        eventLoop.put(new SidecarEvent.GateEventRaised(new GateEvent.DrainRequested()));
         try {
             return drained.await(limit.toMillis(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
@@ -131,20 +132,20 @@
 
     @Override
     public void linkUp(Link link) {
-        duty.put(new SidecarEvent.LinkChanged(link, true));
+        eventLoop.put(new SidecarEvent.LinkChanged(link, true));
     }
 
     @Override
     public void linkDown(Link link) {
-        duty.put(new SidecarEvent.LinkChanged(link, false));
+        eventLoop.put(new SidecarEvent.LinkChanged(link, false));
     }
 
     @Override
     public void received(Link link, Frame frame) {
         switch (frame.getBodyCase()) {
-            case ATTEMPT -> attempt(link, frame.getAttempt());
+            case ATTEMPT -> enqueueAttempt(link, frame.getAttempt());
             case CANCEL ->
-                duty.put(new SidecarEvent.CancelReceived(
+                eventLoop.put(new SidecarEvent.CancelReceived(
                         link.id(), frame.getCancel().getId()));
             case CREDIT ->
                 Optional.ofNullable(calls.get(
@@ -157,57 +158,59 @@
 
     @Override
     public void close() {
-        duty.close();
+        eventLoop.close();
     }
 
-    private void attempt(Link link, Attempt a) {
-        if (!duty.offer(new SidecarEvent.AttemptReceived(link, a))) {
-            Verdict v = new Verdict.NotRun(Reason.RING_FULL, RING_FULL_RETRY_AFTER);
+    private void enqueueAttempt(Link link, Attempt a) {
+        if (!eventLoop.offer(new SidecarEvent.AttemptReceived(link, a))) {
+            Verdict v = new Verdict.NotRun(Reason.RING_FULL, QUEUE_FULL_RETRY_AFTER);
             link.send(Frame.newBuilder()
                     .setAnswerEnd(VerdictCodec.encode(a.getId(), v, 0))
                     .build());
         }
     }
 
-    private void arrived(Link link, Attempt a, long nowNanos) {
-        AttemptSequence sequence = sequences.computeIfAbsent(link.id(), l -> new AttemptSequence());
+    private void handleAttempt(Link link, Attempt a, long nowNanos) {
+        AttemptSequence sequence = attemptSequences.computeIfAbsent(link.id(), l -> new AttemptSequence());
         if (!sequence.accept(a.getId())) {
             LOG.warn("attempt-repeated").with("request", a.getRequestId()).write();
             return;
         }
-        long number = nextNumber++;
+        long number = nextAttemptNumber++;
         AttemptKey key = new AttemptKey(link.id(), a.getId());
-        open.put(number, new Open(key, link, a, nowNanos));
-        numbers.put(key, number);
+        openAttempts.put(number, new OpenAttempt(key, link, a, nowNanos));
+        attemptNumbers.put(key, number);
         Urgency urgency = Urgency.ofOrdinal(a.getUrgency());
         long deadline = nowNanos + Duration.ofMillis(a.getRemainingMs()).toNanos();
         Optional<KeyHash> hash = a.getIdempotencyKey().isEmpty()
                 ? Optional.empty()
                 : Optional.of(KeyHash.of(service, a.getTeam(), a.getIdempotencyKey()));
-        QueuedRequest w = new QueuedRequest(number, urgency, a.getTeam(), Math.max(1, a.getCost()), deadline);
+        QueuedRequest queuedRequest =
+                new QueuedRequest(number, urgency, a.getTeam(), Math.max(1, a.getCost()), deadline);
         if (!a.getService().equals(service)) {
             perform(new GateAction.EndAttempt(number, new Verdict.NotRun(Reason.UNKNOWN_SERVICE, Duration.ZERO), 0));
             return;
         }
-        step(new GateEvent.AttemptArrived(new GateRequest(w, a.getRepeatable(), hash, a.getDeadlineEpochMs())));
+        handleEvent(new GateEvent.AttemptArrived(
+                new GateRequest(queuedRequest, a.getRepeatable(), hash, a.getDeadlineEpochMs())));
     }
 
-    private void linkChanged(Link link, boolean up) {
-        if (up) {
+    private void handleLinkChange(Link link, boolean isUp) {
+        if (isUp) {
             links.put(link.id(), link);
             sendReport(link, gate.report());
             return;
         }
         links.remove(link.id());
-        sequences.remove(link.id());
-        List<Long> orphans = open.entrySet().stream()
+        attemptSequences.remove(link.id());
+        List<Long> orphanedAttempts = openAttempts.entrySet().stream()
                 .filter(e -> e.getValue().link().id() == link.id())
                 .map(Map.Entry::getKey)
                 .toList();
-        orphans.forEach(n -> step(new GateEvent.AttemptCancelled(n)));
+        orphanedAttempts.forEach(n -> handleEvent(new GateEvent.AttemptCancelled(n)));
     }
 
-    private void step(GateEvent event) {
+    private void handleEvent(GateEvent event) {
         gate.handle(event, clock.nanos(), clock.epochMillis()).forEach(this::perform);
     }
 
@@ -215,89 +218,96 @@
         switch (action) {
             case GateAction.StartCall s -> startCall(s);
             case GateAction.AbortCall a ->
-                Optional.ofNullable(open.get(a.id()))
-                        .map(o -> calls.get(o.key()))
+                Optional.ofNullable(openAttempts.get(a.id()))
+                        .map(openAttempt -> calls.get(openAttempt.key()))
                         .ifPresent(UpstreamCall::abort);
-            case GateAction.EndAttempt e -> end(e.id(), e.verdict(), e.length());
-            case GateAction.ReplayAnswer r -> replay(r);
-            case GateAction.CallClaimStore c -> claimCall(c.call());
+            case GateAction.EndAttempt e -> endAttempt(e.id(), e.verdict(), e.length());
+            case GateAction.ReplayAnswer r -> replayAnswer(r);
+            case GateAction.CallClaimStore c -> callClaimStore(c.call());
             case GateAction.DrainCompleted d -> drained.countDown();
         }
     }
 
     private void startCall(GateAction.StartCall s) {
-        Open o = open.get(s.id());
-        boolean keep =
-                !o.attempt().getRepeatable() && !o.attempt().getIdempotencyKey().isEmpty();
-        UpstreamCall call = new UpstreamCall(o.attempt().getWindow(), keep, new Forwarder(s.id(), o));
-        calls.put(o.key(), call);
+        OpenAttempt openAttempt = openAttempts.get(s.id());
+        boolean isAnswerRetained = !openAttempt.attempt().getRepeatable()
+                && !openAttempt.attempt().getIdempotencyKey().isEmpty();
+        UpstreamCall call = new UpstreamCall(
+                openAttempt.attempt().getWindow(), isAnswerRetained, new AnswerForwarder(s.id(), openAttempt));
+        calls.put(openAttempt.key(), call);
         call.send(
-                target.request(o.attempt()),
+                requestFactory.createRequest(openAttempt.attempt()),
                 () -> clock.nanos() < s.latestNanos() && clock.epochMillis() < s.latestEpochMillis());
     }
 
-    private void claimCall(ClaimAction call) {
+    private void callClaimStore(ClaimAction call) {
         switch (call) {
             case ClaimAction.ReadBucket r -> {
-                metrics.storeCall("read");
-                claims.read(r).thenAccept(e -> duty.put(new SidecarEvent.ForGate(new GateEvent.ClaimReplyReceived(e))));
+                metrics.countStoreCall("read");
+                claims.read(r)
+                        .thenAccept(e ->
+                                eventLoop.put(new SidecarEvent.GateEventRaised(new GateEvent.ClaimReplyReceived(e))));
             }
             case ClaimAction.WriteBucket w -> {
-                metrics.storeCall("write");
+                metrics.countStoreCall("write");
                 claims.write(w)
-                        .thenAccept(e -> duty.put(new SidecarEvent.ForGate(new GateEvent.ClaimReplyReceived(e))));
+                        .thenAccept(e ->
+                                eventLoop.put(new SidecarEvent.GateEventRaised(new GateEvent.ClaimReplyReceived(e))));
             }
-            default -> throw new IllegalStateException("not a call to the store: " + call);
+            default -> throw new IllegalStateException("not a call to the claim store: " + call);
         }
     }
 
-    private void replay(GateAction.ReplayAnswer r) {
-        Open o = open.get(r.id());
+    private void replayAnswer(GateAction.ReplayAnswer r) {
+        OpenAttempt openAttempt = openAttempts.get(r.id());
         StoredResponse a = r.answer();
-        Forwarder f = new Forwarder(r.id(), o);
+        AnswerForwarder f = new AnswerForwarder(r.id(), openAttempt);
         f.headReceived(a.status(), a.contentType());
         if (a.body().length > 0) {
             f.chunkReceived(0, a.body());
         }
-        end(r.id(), new Verdict.Completed(a.status()), a.body().length);
+        endAttempt(r.id(), new Verdict.Completed(a.status()), a.body().length);
     }
 
-    private void end(long number, Verdict verdict, long length) {
-        Open o = open.remove(number);
-        if (o == null) {
+    private void endAttempt(long number, Verdict verdict, long length) {
+        OpenAttempt openAttempt = openAttempts.remove(number);
+        if (openAttempt == null) {
             return;
         }
-        numbers.remove(o.key());
-        calls.remove(o.key());
+        attemptNumbers.remove(openAttempt.key());
+        calls.remove(openAttempt.key());
         SidecarReport r = gate.report();
-        AnswerEnd.Builder e =
-                VerdictCodec.encode(o.attempt().getId(), verdict, length).setLoad(encode(r));
-        o.link().send(Frame.newBuilder().setAnswerEnd(e).build());
-        metrics.ended(
-                o.attempt().getTeam(),
-                Urgency.ofOrdinal(o.attempt().getUrgency()),
+        AnswerEnd.Builder e = VerdictCodec.encode(openAttempt.attempt().getId(), verdict, length)
+                .setLoad(encode(r));
+        openAttempt.link().send(Frame.newBuilder().setAnswerEnd(e).build());
+        metrics.recordAttempt(
+                openAttempt.attempt().getTeam(),
+                Urgency.ofOrdinal(openAttempt.attempt().getUrgency()),
                 verdict,
-                Duration.ofNanos(clock.nanos() - o.arrivedNanos()));
-        if (!(verdict instanceof Verdict.Completed) && logBudget.tryAcquire(clock.nanos())) {
+                Duration.ofNanos(clock.nanos() - openAttempt.arrivedNanos()));
+        if (!(verdict instanceof Verdict.Completed) && logRateLimiter.tryAcquire(clock.nanos())) {
             LOG.info("attempt-ended")
-                    .with("request", o.attempt().getRequestId())
-                    .with("team", o.attempt().getTeam())
+                    .with("request", openAttempt.attempt().getRequestId())
+                    .with("team", openAttempt.attempt().getTeam())
                     .with("verdict", verdict)
-                    .with("suppressed", logBudget.getAndResetSuppressed())
+                    .with("suppressed", logRateLimiter.getAndResetSuppressed())
                     .write();
         }
     }
 
-    /** Reports go out on change; load changes wait for the gap, readiness never does. */
-    private void reportChanges(long nowNanos) {
+    /**
+     * Sends the report if it has changed: immediately if the gate starts or stops accepting attempts, otherwise at most
+     * once per minimum report interval.
+     */
+    private void sendReportIfChanged(long nowNanos) {
         SidecarReport r = gate.report();
-        boolean urgent = r.isAccepting() != lastReport.isAccepting();
-        if (r.equals(lastReport) || (!urgent && nowNanos - lastReportNanos < REPORT_GAP_NANOS)) {
+        boolean isAcceptingChanged = r.isAccepting() != lastReport.isAccepting();
+        if (r.equals(lastReport) || (!isAcceptingChanged && nowNanos - lastReportNanos < MIN_REPORT_INTERVAL_NANOS)) {
             return;
         }
         lastReport = r;
         lastReportNanos = nowNanos;
-        metrics.state(r);
+        metrics.updateGauges(r);
         links.values().forEach(l -> sendReport(l, r));
     }
 
@@ -316,28 +326,29 @@
                 .build();
     }
 
-    /** Names an attempt by its link and the entry's number. */
+    /** Identifies an attempt by its link and the number that the entry gave it. */
     private record AttemptKey(long link, long attempt) {}
 
     /** An attempt without a final answer. */
-    private record Open(AttemptKey key, Link link, Attempt attempt, long arrivedNanos) {}
+    private record OpenAttempt(AttemptKey key, Link link, Attempt attempt, long arrivedNanos) {}
 
-    /** Passes an upstream's answer on to the entry. */
-    private final class Forwarder implements UpstreamCall.AnswerListener {
+    /** Forwards the answer of the upstream to the entry. */
+    private final class AnswerForwarder implements UpstreamCall.AnswerListener {
         private final long number;
-        private final Open o;
+        private final OpenAttempt openAttempt;
 
-        private Forwarder(long number, Open o) {
+        private AnswerForwarder(long number, OpenAttempt openAttempt) {
             this.number = number;
-            this.o = o;
+            this.openAttempt = openAttempt;
         }
 
         @Override
         public void headReceived(int status, String contentType) {
-            o.link()
+            openAttempt
+                    .link()
                     .send(Frame.newBuilder()
                             .setAnswerHead(AnswerHead.newBuilder()
-                                    .setId(o.attempt().getId())
+                                    .setId(openAttempt.attempt().getId())
                                     .setStatus(status)
                                     .setContentType(contentType))
                             .build());
@@ -345,10 +356,11 @@
 
         @Override
         public void chunkReceived(long offset, byte[] data) {
-            o.link()
+            openAttempt
+                    .link()
                     .send(Frame.newBuilder()
                             .setAnswerChunk(AnswerChunk.newBuilder()
-                                    .setId(o.attempt().getId())
+                                    .setId(openAttempt.attempt().getId())
                                     .setOffset(offset)
                                     .setData(UnsafeByteOperations.unsafeWrap(data)))
                             .build());
@@ -356,7 +368,7 @@
 
         @Override
         public void callEnded(CallOutcome outcome) {
-            duty.put(new SidecarEvent.ForGate(new GateEvent.CallEnded(number, outcome)));
+            eventLoop.put(new SidecarEvent.GateEventRaised(new GateEvent.CallEnded(number, outcome)));
         }
     }
 
@@ -364,12 +376,12 @@
         @Override
         public void handle(SidecarEvent event) {
             switch (event) {
-                case SidecarEvent.AttemptReceived a -> arrived(a.link(), a.attempt(), clock.nanos());
+                case SidecarEvent.AttemptReceived a -> handleAttempt(a.link(), a.attempt(), clock.nanos());
                 case SidecarEvent.CancelReceived c ->
-                    Optional.ofNullable(numbers.get(new AttemptKey(c.link(), c.attempt())))
-                            .ifPresent(n -> step(new GateEvent.AttemptCancelled(n)));
-                case SidecarEvent.LinkChanged l -> linkChanged(l.link(), l.up());
-                case SidecarEvent.ForGate g -> step(g.event());
+                    Optional.ofNullable(attemptNumbers.get(new AttemptKey(c.link(), c.attempt())))
+                            .ifPresent(n -> handleEvent(new GateEvent.AttemptCancelled(n)));
+                case SidecarEvent.LinkChanged l -> handleLinkChange(l.link(), l.isUp());
+                case SidecarEvent.GateEventRaised g -> handleEvent(g.event());
             }
         }
 
@@ -377,16 +389,16 @@
         public void runDueTasks() {
             long now = clock.nanos();
             if (now >= Math.min(nextTickNanos, gate.nextDeadlineNanos())) {
-                step(new GateEvent.Tick());
-                nextTickNanos = now + TICK_NANOS;
+                handleEvent(new GateEvent.Tick());
+                nextTickNanos = now + TICK_INTERVAL_NANOS;
             }
-            reportChanges(now);
+            sendReportIfChanged(now);
         }
 
         @Override
         public long nanosToNextTask() {
-            boolean reported = gate.report().equals(lastReport);
-            long nextReport = reported ? Long.MAX_VALUE : lastReportNanos + REPORT_GAP_NANOS;
+            boolean isReported = gate.report().equals(lastReport);
+            long nextReport = isReported ? Long.MAX_VALUE : lastReportNanos + MIN_REPORT_INTERVAL_NANOS;
             long next = Math.min(nextReport, Math.min(nextTickNanos, gate.nextDeadlineNanos()));
             return Math.max(0, next - clock.nanos());
         }
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/SidecarEvent.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/SidecarEvent.java
@@ -4,18 +4,18 @@
 import org.citrontide.wire.generated.Attempt;
 import org.citrontide.wire.link.Link;
 
-/** What happens to a {@link GateShell}. Immutable. */
+/** An event that a {@link GateShell} handles. Immutable. */
 sealed interface SidecarEvent {
 
-    /** An entry sent an attempt. */
+    /** An attempt arrived from an entry. */
     record AttemptReceived(Link link, Attempt attempt) implements SidecarEvent {}
 
-    /** An entry does not wait for an attempt any more. */
+    /** An entry cancelled an attempt: it no longer needs the result. */
     record CancelReceived(long link, long attempt) implements SidecarEvent {}
 
-    /** A link came up or ended. */
-    record LinkChanged(Link link, boolean up) implements SidecarEvent {}
+    /** A link went up or down. */
+    record LinkChanged(Link link, boolean isUp) implements SidecarEvent {}
 
-    /** Something happened that concerns the gate alone. */
-    record ForGate(GateEvent event) implements SidecarEvent {}
+    /** An event occurred that the gate handles unchanged. */
+    record GateEventRaised(GateEvent event) implements SidecarEvent {}
 }
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/SidecarMetrics.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/SidecarMetrics.java
@@ -11,9 +11,11 @@
 import org.citrontide.core.verdict.Verdict;
 import org.citrontide.runtime.metrics.TeamLabels;
 
-/** The metrics of a sidecar. Safe for use by many threads. */
+/** The metrics of a sidecar. Thread-safe. */
 public final class SidecarMetrics {
-    private static final double[] SECONDS = {0.001, 0.005, 0.025, 0.1, 0.5, 1, 1.8, 5, 10, 30, 60, 300, 3600};
+    private static final double[] BUCKET_BOUNDS_SECONDS = {
+        0.001, 0.005, 0.025, 0.1, 0.5, 1, 1.8, 5, 10, 30, 60, 300, 3600
+    };
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final TeamLabels teams;
@@ -26,8 +28,8 @@
     /**
      * Registers the metrics.
      *
-     * @param registry where to
-     * @param maxTeams teams that have labels of their own
+     * @param registry registry that receives the metrics
+     * @param maxTeams maximum number of teams that have their own label value
      */
     public SidecarMetrics(PrometheusRegistry registry, int maxTeams) {
         teams = new TeamLabels(maxTeams);
@@ -36,7 +38,7 @@
                 .help("Time from an attempt's arrival to its end")
                 .labelNames("team", "urgency")
                 .classicOnly()
-                .classicUpperBounds(SECONDS)
+                .classicUpperBounds(BUCKET_BOUNDS_SECONDS)
                 .register(registry);
         verdicts = Counter.builder()
                 .name("citrontide_attempt_verdicts")
@@ -58,19 +60,19 @@
                 .register(registry);
     }
 
-    void ended(String team, Urgency urgency, Verdict verdict, Duration time) {
+    void recordAttempt(String team, Urgency urgency, Verdict verdict, Duration duration) {
         attemptSeconds
                 .labelValues(teams.label(team), urgency.externalName())
-                .observe(time.toNanos() / NANOS_PER_SECOND);
+                .observe(duration.toNanos() / NANOS_PER_SECOND);
         verdicts.labelValues(verdict.headerValue()).inc();
     }
 
-    void storeCall(String kind) {
+    void countStoreCall(String kind) {
         storeCalls.labelValues(kind).inc();
     }
 
-    void state(SidecarReport r) {
-        running.set(r.running());
-        waiting.set(r.waiting());
+    void updateGauges(SidecarReport report) {
+        running.set(report.running());
+        waiting.set(report.waiting());
     }
 }
