--- a/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarParts.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarComponent.java
@@ -8,10 +8,10 @@
 import org.citrontide.store.configuration.ConfigurationService;
 import org.citrontide.wire.link.LinkEndpoint;
 
-/** The parts of a sidecar, wired by Dagger. */
+/** The Dagger component that provides the objects of a sidecar. */
 @Singleton
 @Component(modules = SidecarModule.class)
-interface SidecarParts {
+interface SidecarComponent {
     PrometheusRegistry registry();
 
     GateShell gate();
--- a/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarDaemon.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarDaemon.java
@@ -8,28 +8,28 @@
 import org.citrontide.runtime.settings.ProcessSettings;
 
 /**
- * A sidecar as a process.
+ * The process of a sidecar.
  *
- * <p>Invariant: a planned stop refuses new work at once as not run, and ends once nothing runs or the drain limit has
- * passed. Safe for use by many threads.
+ * <p>Invariant: a graceful stop refuses new attempts immediately as not run, and ends once no attempt holds a slot or
+ * the drain limit has passed. Thread-safe.
  */
 public final class SidecarDaemon {
     private static final EventLog LOG = EventLog.of(SidecarDaemon.class);
-    private static final long LAST_FRAMES_MILLIS = 200;
+    private static final long FINAL_FRAMES_DELAY_MILLIS = 200;
 
     private final SidecarSettings settings;
-    private final SidecarParts parts;
+    private final SidecarComponent component;
     private final AtomicBoolean stopping = new AtomicBoolean();
 
     /**
-     * Builds the parts.
+     * Creates the sidecar; {@link #start()} starts it.
      *
-     * @param settings the sidecar's settings
+     * @param settings settings of the sidecar
      * @param seed seed of all random choices
      */
     public SidecarDaemon(SidecarSettings settings, long seed) {
         this.settings = settings;
-        this.parts = DaggerSidecarParts.builder()
+        this.component = DaggerSidecarComponent.builder()
                 .sidecarModule(new SidecarModule(settings, seed))
                 .build();
     }
@@ -37,36 +37,36 @@
     /**
      * Starts the sidecar.
      *
-     * @throws IOException if an address can't be used
+     * @throws IOException if the sidecar can't listen on one of its addresses
      */
     public void start() throws IOException {
-        ProcessSettings p = settings.process();
-        parts.gate().start();
-        parts.configuration().start();
-        parts.links().listen(p.linkAddress());
-        p.seeds().forEach(parts.links()::dial);
-        new AdminServer(p.adminAddress(), parts.registry(), this::isReady);
+        ProcessSettings process = settings.process();
+        component.gate().start();
+        component.configuration().start();
+        component.links().listen(process.linkAddress());
+        process.seeds().forEach(component.links()::dial);
+        new AdminServer(process.adminAddress(), component.registry(), this::isReady);
         LOG.info("started")
                 .with("service", settings.service())
-                .with("link-address", p.linkAddress())
+                .with("link-address", process.linkAddress())
                 .write();
     }
 
-    /** Stops gracefully; returns when the process may exit. */
+    /** Stops the sidecar gracefully and returns when the process may exit. */
     public void stop() {
         stopping.set(true);
         LOG.info("stopping").write();
-        boolean whole = parts.gate().drain(settings.process().drainLimit());
+        boolean isDrained = component.gate().drain(settings.process().drainLimit());
         try {
-            Thread.sleep(LAST_FRAMES_MILLIS);
+            Thread.sleep(FINAL_FRAMES_DELAY_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        parts.links().close();
-        LOG.info("stopped").with("drained", whole).write();
+        component.links().close();
+        LOG.info("stopped").with("drained", isDrained).write();
     }
 
     private boolean isReady() {
-        return !stopping.get() && parts.configuration().inForce().services().containsKey(settings.service());
+        return !stopping.get() && component.configuration().inForce().services().containsKey(settings.service());
     }
 }
--- a/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarModule.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarModule.java
@@ -22,7 +22,7 @@
 import org.citrontide.wire.generated.ProcessIdentity;
 import org.citrontide.wire.link.LinkEndpoint;
 
-/** Builds the parts of a sidecar. Used once, at the start of the process. */
+/** The Dagger module that creates the objects of a sidecar. Used once, when the process starts. */
 @Module
 final class SidecarModule {
     private static final int UPSTREAM_THREADS = 6;
--- a/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarSettings.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarSettings.java
@@ -9,11 +9,11 @@
 /**
  * The settings of a sidecar. Immutable.
  *
- * @param process settings that every process has
- * @param service name of the service behind it
- * @param upstreamAddress where the upstream listens
- * @param upstreamConnections most connections to the upstream
- * @param maxTeamLabels teams that have metric labels of their own
+ * @param process settings common to all processes
+ * @param service name of the service behind the sidecar
+ * @param upstreamAddress address on which the upstream listens
+ * @param upstreamConnections maximum number of connections to the upstream
+ * @param maxTeamLabels maximum number of teams that have their own metric label
  */
 public record SidecarSettings(
         ProcessSettings process,
@@ -27,19 +27,19 @@
     private static final int DEFAULT_LABELS = 300;
 
     /**
-     * Reads a settings file.
+     * Parses and validates a settings file.
      *
-     * @param file name used in messages
+     * @param file name of the file, used in error messages
      * @param text content of the file
-     * @return the settings or every mistake
+     * @return the settings or all violations
      */
     public static ValidationResult<SidecarSettings> parse(String file, String text) {
         TomlSection root = TomlSection.parse(file, text);
         ProcessSettings process = ProcessSettings.read(root);
         String service = root.requireString("service");
-        InetSocketAddress upstream = ProcessSettings.readAddress(root, "upstream_address");
+        InetSocketAddress upstreamAddress = ProcessSettings.readAddress(root, "upstream_address");
         int connections = root.integer("upstream_connections", 1, MAX_CONNECTIONS, DEFAULT_CONNECTIONS);
         int labels = root.integer("max_team_labels", 0, MAX_LABELS, DEFAULT_LABELS);
-        return root.finish(() -> new SidecarSettings(process, service, upstream, connections, labels));
+        return root.finish(() -> new SidecarSettings(process, service, upstreamAddress, connections, labels));
     }
 }
