--- a/entry/src/main/java/org/citrontide/entry/daemon/VmListWatcher.java
+++ b/entry/src/main/java/org/citrontide/entry/daemon/VmListWatcher.java
@@ -23,7 +23,7 @@
 public final class VmListWatcher implements AutoCloseable {
     private static final Duration LONG_POLL_TIMEOUT = Duration.ofSeconds(20);
     private static final int MEAN_RETRY_DELAY_MS = 2000;
-    private static final int MIN_POLL_INTERVAL_MS = 50;
+    private static final int POLL_DELAY_MS = 50;
 
     private final StoreClient store;
     private final List<String> zones;
@@ -72,7 +72,7 @@
     }
 
     private void handleList(String zone, Optional<StoreClient.VmList> list) {
-        long delayMillis = MIN_POLL_INTERVAL_MS;
+        long delayMillis = POLL_DELAY_MS;
         if (list.isPresent()) {
             lists.put(zone, list.get());
             Map<String, List<ListedVm>> byZone = new HashMap<>();
--- a/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
+++ b/entry/src/main/java/org/citrontide/entry/dispatch/DispatchShell.java
@@ -97,7 +97,7 @@
     }
 
     /**
-     * Starts the dispatch thread. Must be called before the first link is opened.
+     * Starts the dispatch thread.
      *
      * @param dialler function that opens a link to an address and keeps it open
      */
