--- a/gateway/src/main/java/org/citrontide/gateway/daemon/ControlPlane.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/ControlPlane.java
@@ -11,60 +11,60 @@
 import org.citrontide.core.routes.ListedUpstream;
 import org.citrontide.core.routes.RoutingTable;
 import org.citrontide.gateway.dispatch.GatewayShell;
-import org.citrontide.gateway.maps.MapShell;
-import org.citrontide.gateway.store.GatewayRegister;
-import org.citrontide.gateway.store.HttpCaller;
-import org.citrontide.gateway.store.Leadership;
+import org.citrontide.gateway.maps.MapControllerShell;
+import org.citrontide.gateway.store.GatewayRegistration;
+import org.citrontide.gateway.store.LeaderElection;
+import org.citrontide.gateway.store.PlatformClient;
 import org.citrontide.gateway.store.StoreMirror;
 
 /**
- * What one gateway does beside serving requests: follows the store, stands for leader, and changes expert maps while it
- * leads.
+ * Control plane of one gateway: mirrors the store, takes part in the leader election, and changes expert maps while
+ * this process is the leader.
  *
- * <p>Not thread-safe: owned by the event loop, but for {@link #isLoaded} and {@link #isHolding}.
+ * <p>Not thread-safe: confined to the event loop, except for {@link #isHolding}.
  */
-final class ControlPlane implements StoreMirror.Listener, Leadership.Listener {
-    // A change of map waits for a tick at each of its steps, each of which delays better passes.
+final class ControlPlane implements StoreMirror.Listener, LeaderElection.Listener {
+    // Each step of a map change waits for a tick, which delays the faster passes under the new map.
     private static final Duration LEADER_TICK = Duration.ofMillis(20);
     private static final Duration FOLLOWER_TICK = Duration.ofMillis(250);
 
     private final EventLoop loop;
     private final GatewayShell shell;
     private final StoreMirror mirror;
-    private final Leadership leadership;
-    private final GatewayRegister register;
-    private final MapShell maps;
-    private final RetrySlackShare slack;
-    private boolean leads;
-    private boolean stopping;
-    private boolean resigned;
-    private volatile boolean holding;
+    private final LeaderElection leaderElection;
+    private final GatewayRegistration registration;
+    private final MapControllerShell mapControllers;
+    private final RetrySlackShare slackShare;
+    private boolean isLeader;
+    private boolean isStopping;
+    private boolean hasResigned;
+    private volatile boolean isHolding;
 
     ControlPlane(
             GatewaySettings settings,
             EventLoop loop,
             RandomGenerator random,
             GatewayShell shell,
-            RetrySlackShare slack) {
-        this.slack = slack;
+            RetrySlackShare slackShare) {
+        this.slackShare = slackShare;
         this.loop = loop;
         this.shell = shell;
-        HttpCaller caller = new HttpCaller(loop);
-        this.mirror = new StoreMirror(caller, settings.storeAddress(), settings.peers(), loop, random, this);
-        this.leadership = new Leadership(caller, settings.storeAddress(), loop, random, settings.vm(), this);
-        this.register = new GatewayRegister(caller, settings.storeAddress(), loop, random, settings.vm());
-        this.maps = new MapShell(caller, loop, leadership::check);
+        PlatformClient client = new PlatformClient(loop);
+        this.mirror = new StoreMirror(client, settings.storeAddress(), settings.peers(), loop, random, this);
+        this.leaderElection = new LeaderElection(client, settings.storeAddress(), loop, random, settings.vm(), this);
+        this.registration = new GatewayRegistration(client, settings.storeAddress(), loop, random, settings.vm());
+        this.mapControllers = new MapControllerShell(client, loop, leaderElection::checkLease);
     }
 
     void start() {
         mirror.start();
-        register.start();
+        registration.start();
         tick();
     }
 
-    /** Gives up the lead as soon as no change of map holds a group. */
+    /** Resigns as the leader as soon as no map change holds a group. */
     void stop() {
-        stopping = true;
+        isStopping = true;
         resignIfPossible();
     }
 
@@ -77,56 +77,56 @@
     }
 
     boolean isHolding() {
-        return holding;
+        return isHolding;
     }
 
     @Override
-    public void configured(RoutingTable table) {
-        shell.configured(table);
-        maps.configured(table);
+    public void configurationChanged(RoutingTable table) {
+        shell.setRoutingTable(table);
+        mapControllers.configurationChanged(table);
     }
 
     @Override
-    public void listed(List<ListedUpstream> upstreams) {
-        shell.listed(upstreams);
-        maps.listed(upstreams);
+    public void upstreamsUpdated(List<ListedUpstream> upstreams) {
+        shell.updateUpstreams(upstreams);
+        mapControllers.upstreamsUpdated(upstreams);
     }
 
     @Override
-    public void leaderKey(boolean isHeld) {
-        leadership.keySeen(isHeld);
+    public void leaderKeyUpdated(boolean isHeld) {
+        leaderElection.handleLeaderKey(isHeld);
     }
 
     @Override
-    public void gateways(int count) {
-        slack.setGatewayCount(count);
+    public void gatewayCountUpdated(int count) {
+        slackShare.setGatewayCount(count);
     }
 
     @Override
     public void elected(long term) {
-        leads = true;
-        maps.elected(term);
+        isLeader = true;
+        mapControllers.elected(term);
     }
 
     @Override
     public void deposed() {
-        leads = false;
-        maps.deposed();
+        isLeader = false;
+        mapControllers.deposed();
     }
 
     private void tick() {
-        leadership.check();
-        maps.tick();
-        holding = maps.isHolding();
+        leaderElection.checkLease();
+        mapControllers.tick();
+        isHolding = mapControllers.isHolding();
         resignIfPossible();
-        Duration pause = leads || holding ? LEADER_TICK : FOLLOWER_TICK;
+        Duration pause = isLeader || isHolding ? LEADER_TICK : FOLLOWER_TICK;
         loop.schedule(this::tick, pause.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     private void resignIfPossible() {
-        if (stopping && !resigned && !maps.isHolding()) {
-            resigned = true;
-            leadership.resign();
+        if (isStopping && !hasResigned && !mapControllers.isHolding()) {
+            hasResigned = true;
+            leaderElection.resign();
         }
     }
 }
--- a/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarModule.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarModule.java
@@ -13,12 +13,12 @@
 import org.citrontide.sidecar.gate.ClaimStore;
 import org.citrontide.sidecar.gate.GateShell;
 import org.citrontide.sidecar.gate.SidecarMetrics;
-import org.citrontide.sidecar.gate.UpstreamTarget;
+import org.citrontide.sidecar.gate.UpstreamRequestFactory;
 import org.citrontide.store.client.HttpClients;
 import org.citrontide.store.client.StoreClient;
 import org.citrontide.store.configuration.ConfigurationService;
-import org.citrontide.store.configuration.StoredConfiguration;
-import org.citrontide.store.links.ProcessLinks;
+import org.citrontide.store.configuration.StoreConfigurationReader;
+import org.citrontide.store.links.ProcessLinkListener;
 import org.citrontide.wire.generated.ProcessIdentity;
 import org.citrontide.wire.link.LinkEndpoint;
 
@@ -61,7 +61,7 @@
             return new GateShell(
                     settings.service(),
                     incarnation,
-                    new UpstreamTarget(
+                    new UpstreamRequestFactory(
                             HttpClients.start("upstream-client", UPSTREAM_THREADS, settings.upstreamConnections()),
                             settings.upstreamAddress()),
                     new ClaimStore(store, settings.service()),
@@ -75,7 +75,8 @@
     @Provides
     @Singleton
     ConfigurationService configuration(StoreClient store, GateShell gate) {
-        return new ConfigurationService(new StoredConfiguration(store), Clock.SYSTEM, random.split(), gate::configured);
+        return new ConfigurationService(
+                new StoreConfigurationReader(store), Clock.SYSTEM, random.split(), gate::changeConfiguration);
     }
 
     @Provides
@@ -89,6 +90,6 @@
                 .setService(settings.service())
                 .build();
         return new LinkEndpoint(
-                LINK_THREADS, settings.process().linkKey(), self, new ProcessLinks(configuration, gate));
+                LINK_THREADS, settings.process().linkKey(), self, new ProcessLinkListener(configuration, gate));
     }
 }
