--- a/cli/src/main/java/org/citrontide/cli/PublishCommand.java
+++ b/cli/src/main/java/org/citrontide/cli/PublishCommand.java
@@ -74,7 +74,7 @@
             if (action instanceof PublicationAction.Finish f) {
                 return f.result();
             }
-            action = machine.on(perform(store, action));
+            action = machine.handle(perform(store, action));
         }
     }
 
--- a/core/src/main/java/org/citrontide/core/claim/ClaimLedger.java
+++ b/core/src/main/java/org/citrontide/core/claim/ClaimLedger.java
@@ -77,7 +77,7 @@
      * @param epochMillis wall-clock time in ms since 1970
      * @return the actions that the caller must perform, in order
      */
-    public List<ClaimAction> on(ClaimEvent event, long nowNanos, long epochMillis) {
+    public List<ClaimAction> handle(ClaimEvent event, long nowNanos, long epochMillis) {
         List<ClaimAction> actions = new ArrayList<>();
         switch (event) {
             case ClaimEvent.ClaimRequested r -> requestClaim(r, actions);
--- a/core/src/main/java/org/citrontide/core/gate/SidecarGate.java
+++ b/core/src/main/java/org/citrontide/core/gate/SidecarGate.java
@@ -250,7 +250,7 @@
         }
 
         private void handleClaimEvent(ClaimEvent event) {
-            for (ClaimAction a : ledger.on(event, nowNanos, epochMillis)) {
+            for (ClaimAction a : ledger.handle(event, nowNanos, epochMillis)) {
                 switch (a) {
                     case ClaimAction.ReadBucket r -> actions.add(new GateAction.CallClaimStore(r));
                     case ClaimAction.WriteBucket w -> actions.add(new GateAction.CallClaimStore(w));
--- a/core/src/main/java/org/citrontide/core/publication/ConfigurationSyncController.java
+++ b/core/src/main/java/org/citrontide/core/publication/ConfigurationSyncController.java
@@ -73,7 +73,7 @@
      * @param nowNanos monotonic time in ns
      * @return the actions that the caller must perform, in order
      */
-    public List<ConfigurationSyncAction> on(ConfigurationSyncEvent event, long nowNanos) {
+    public List<ConfigurationSyncAction> handle(ConfigurationSyncEvent event, long nowNanos) {
         List<ConfigurationSyncAction> actions = new ArrayList<>();
         switch (event) {
             case ConfigurationSyncEvent.PeerDigest d -> handlePeerDigest(d, nowNanos, actions);
--- a/core/src/main/java/org/citrontide/core/publication/PublicationStateMachine.java
+++ b/core/src/main/java/org/citrontide/core/publication/PublicationStateMachine.java
@@ -85,7 +85,7 @@
      * @param event outcome of the last action
      * @return the next action
      */
-    public PublicationAction on(PublicationEvent event) {
+    public PublicationAction handle(PublicationEvent event) {
         return switch (event) {
             case PublicationEvent.HeadRead h -> handleHeadRead(h);
             case PublicationEvent.FileRead f -> {
--- a/core/src/test/java/org/citrontide/core/claim/ClaimLedgerTest.java
+++ b/core/src/test/java/org/citrontide/core/claim/ClaimLedgerTest.java
@@ -31,14 +31,14 @@
         assertEquals(2, w.claims().size());
         assertEquals(
                 List.of(new ClaimAction.GrantClaim(1), new ClaimAction.GrantClaim(2)),
-                on(new ClaimEvent.BucketWritten(BUCKET, 1)));
+                handle(new ClaimEvent.BucketWritten(BUCKET, 1)));
     }
 
     @Test
     void latestStartPrecedesTheExpiryByTheClockMargin() {
         requestClaim(1, KEY);
         readBucket(0, List.of());
-        on(new ClaimEvent.BucketWritten(BUCKET, 1));
+        handle(new ClaimEvent.BucketWritten(BUCKET, 1));
         ClaimLedger.LatestStart latest = ledger.latestStart(1).orElseThrow();
         Duration usable = WINDOW.minus(ClaimLedger.CLOCK_MARGIN);
         assertEquals(NANOS_PER_SECOND + usable.toNanos(), latest.nanos());
@@ -50,7 +50,7 @@
         requestClaim(1, KEY);
         readBucket(0, List.of());
         ledger.configure(WINDOW.multipliedBy(10));
-        on(new ClaimEvent.BucketWritten(BUCKET, 1));
+        handle(new ClaimEvent.BucketWritten(BUCKET, 1));
         assertTrue(ledger.latestStart(1).orElseThrow().epochMillis() < EPOCH_MILLIS + WINDOW.toMillis());
     }
 
@@ -58,34 +58,34 @@
     void writeWithUnknownOutcomeIsReadBack() {
         requestClaim(1, KEY);
         ClaimAction.WriteBucket w = readBucket(0, List.of());
-        assertEquals(List.of(new ClaimAction.ReadBucket(BUCKET)), on(new ClaimEvent.BucketFailed(BUCKET, true)));
-        assertEquals(List.of(new ClaimAction.GrantClaim(1)), on(new ClaimEvent.BucketRead(BUCKET, 1, w.claims())));
+        assertEquals(List.of(new ClaimAction.ReadBucket(BUCKET)), handle(new ClaimEvent.BucketFailed(BUCKET, true)));
+        assertEquals(List.of(new ClaimAction.GrantClaim(1)), handle(new ClaimEvent.BucketRead(BUCKET, 1, w.claims())));
     }
 
     @Test
     void conflictingWriteGrantsNoClaim() {
         requestClaim(1, KEY);
         readBucket(0, List.of());
-        assertEquals(List.of(new ClaimAction.ReadBucket(BUCKET)), on(new ClaimEvent.BucketConflict(BUCKET)));
+        assertEquals(List.of(new ClaimAction.ReadBucket(BUCKET)), handle(new ClaimEvent.BucketConflict(BUCKET)));
         Claim other = new Claim(KEY, new ClaimHolder(8, 1), EPOCH_MILLIS + 1000);
         assertEquals(
                 List.of(new ClaimAction.DenyClaim(1, new Verdict.MayHaveRun(Reason.CLAIMED_BEFORE))),
-                on(new ClaimEvent.BucketRead(BUCKET, 4, List.of(other))));
+                handle(new ClaimEvent.BucketRead(BUCKET, 4, List.of(other))));
     }
 
     @Test
     void unreachableStoreDeniesAsNotRunAndReleasesTheStoredClaim() {
         requestClaim(1, KEY);
         ClaimAction.WriteBucket w = readBucket(0, List.of());
-        on(new ClaimEvent.BucketFailed(BUCKET, true));
+        handle(new ClaimEvent.BucketFailed(BUCKET, true));
         ClaimAction.DenyClaim d = assertInstanceOf(
                 ClaimAction.DenyClaim.class,
-                on(new ClaimEvent.BucketFailed(BUCKET, false)).getFirst());
+                handle(new ClaimEvent.BucketFailed(BUCKET, false)).getFirst());
         assertInstanceOf(Verdict.NotRun.class, d.verdict());
-        assertEquals(List.of(new ClaimAction.ReadBucket(BUCKET)), on(new ClaimEvent.Tick()));
+        assertEquals(List.of(new ClaimAction.ReadBucket(BUCKET)), handle(new ClaimEvent.Tick()));
         ClaimAction.WriteBucket release = assertInstanceOf(
                 ClaimAction.WriteBucket.class,
-                on(new ClaimEvent.BucketRead(BUCKET, 1, w.claims())).getFirst());
+                handle(new ClaimEvent.BucketRead(BUCKET, 1, w.claims())).getFirst());
         assertEquals(List.of(), release.claims());
     }
 
@@ -93,12 +93,12 @@
     void repeatedKeyGetsTheCachedResponse() {
         requestClaim(1, KEY);
         readBucket(0, List.of());
-        on(new ClaimEvent.BucketWritten(BUCKET, 1));
+        handle(new ClaimEvent.BucketWritten(BUCKET, 1));
         assertEquals(
                 List.of(new ClaimAction.DenyClaim(2, new Verdict.MayHaveRun(Reason.IN_PROGRESS))),
                 requestClaim(2, KEY));
         StoredResponse response = new StoredResponse(200, "text/plain", new byte[] {1});
-        on(new ClaimEvent.CallFinished(1, Optional.of(response)));
+        handle(new ClaimEvent.CallFinished(1, Optional.of(response)));
         assertEquals(List.of(new ClaimAction.ReplayResponse(3, response)), requestClaim(3, KEY));
     }
 
@@ -108,24 +108,24 @@
         requestClaim(1, KEY);
         assertInstanceOf(
                 ClaimAction.DenyClaim.class,
-                on(new ClaimEvent.BucketRead(BUCKET, 4, List.of(old))).getFirst());
+                handle(new ClaimEvent.BucketRead(BUCKET, 4, List.of(old))).getFirst());
         requestClaim(2, SAME_BUCKET);
         Claim older = new Claim(KEY, new ClaimHolder(8, 1), EPOCH_MILLIS - ClaimLedger.CLOCK_MARGIN.toMillis() - 1);
-        on(new ClaimEvent.BucketConflict(BUCKET));
+        handle(new ClaimEvent.BucketConflict(BUCKET));
         assertEquals(1, readBucket(5, List.of(older)).claims().size());
     }
 
     private List<ClaimAction> requestClaim(long attempt, KeyHash key) {
-        return on(new ClaimEvent.ClaimRequested(attempt, key, 10 * NANOS_PER_SECOND));
+        return handle(new ClaimEvent.ClaimRequested(attempt, key, 10 * NANOS_PER_SECOND));
     }
 
     private ClaimAction.WriteBucket readBucket(long revision, List<Claim> claims) {
         return assertInstanceOf(
                 ClaimAction.WriteBucket.class,
-                on(new ClaimEvent.BucketRead(BUCKET, revision, claims)).getFirst());
+                handle(new ClaimEvent.BucketRead(BUCKET, revision, claims)).getFirst());
     }
 
-    private List<ClaimAction> on(ClaimEvent event) {
-        return ledger.on(event, NANOS_PER_SECOND, EPOCH_MILLIS);
+    private List<ClaimAction> handle(ClaimEvent event) {
+        return ledger.handle(event, NANOS_PER_SECOND, EPOCH_MILLIS);
     }
 }
--- a/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherFaultTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherFaultTest.java
@@ -93,7 +93,7 @@
                     simulateRandomEvent();
                 }
                 if (nowMs % 50 == 0) {
-                    on(new GatewayEvent.Tick());
+                    handle(new GatewayEvent.Tick());
                     requests.values()
                             .forEach(a -> assertTrue(a.ended || a.deadlineMs > nowMs, "open past its deadline"));
                 }
@@ -131,7 +131,7 @@
             long id = ++lastId;
             long deadline = nowMs + 200 + random.nextInt(TIMEOUT_MS - 200);
             requests.put(id, new TrackedRequest(retrySafety, deadline));
-            on(new GatewayEvent.RequestArrived(
+            handle(new GatewayEvent.RequestArrived(
                     new GatewayRequest(id, route, "s", "t", 0, 0, 0, Duration.ZERO, nowMs * MS, deadline * MS)));
         }
 
@@ -142,7 +142,7 @@
             long id = 1 + random.nextLong(lastId);
             if (!requests.get(id).ended) {
                 requests.get(id).ended = true;
-                on(new GatewayEvent.CallerDisconnected(id));
+                handle(new GatewayEvent.CallerDisconnected(id));
                 assertEquals(0, requests.get(id).inFlight, "attempt in flight after its caller disconnected");
             }
         }
@@ -159,7 +159,7 @@
                     }
                 }
             }
-            on(new GatewayEvent.UpstreamsUpdated(list));
+            handle(new GatewayEvent.UpstreamsUpdated(list));
         }
 
         private void progressOrEnd() {
@@ -169,7 +169,7 @@
             List<Long> numbers = new ArrayList<>(attempts.keySet());
             SentAttempt s = attempts.get(numbers.get(random.nextInt(numbers.size())));
             if (random.nextInt(3) == 0) {
-                on(new GatewayEvent.ResponseProgress(s.attempt(), random.nextBoolean()));
+                handle(new GatewayEvent.ResponseProgress(s.attempt(), random.nextBoolean()));
                 return;
             }
             attempts.remove(s.attempt());
@@ -182,11 +182,11 @@
             if (outcome instanceof AttemptOutcome.Unreached) {
                 a.reached.remove(s.upstream());
             }
-            on(new GatewayEvent.AttemptEnded(s.attempt(), outcome));
+            handle(new GatewayEvent.AttemptEnded(s.attempt(), outcome));
         }
 
         private void reportSpeed(String upstream) {
-            on(new GatewayEvent.SpeedReported(upstream, random.nextInt(3) == 0 ? 4 : 1));
+            handle(new GatewayEvent.SpeedReported(upstream, random.nextInt(3) == 0 ? 4 : 1));
         }
 
         private AttemptOutcome outcome() {
@@ -201,7 +201,7 @@
             };
         }
 
-        private void on(GatewayEvent event) {
+        private void handle(GatewayEvent event) {
             for (GatewayAction action : dispatcher.handle(event, nowMs * MS)) {
                 switch (action) {
                     case GatewayAction.Send s -> checkSent(s);
--- a/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherTest.java
@@ -37,7 +37,7 @@
 
     @BeforeEach
     void list() {
-        on(new GatewayEvent.UpstreamsUpdated(
+        handle(new GatewayEvent.UpstreamsUpdated(
                 List.of(upstream("a", false), upstream("b", false), upstream("c", false))));
         nowMs += 500;
     }
@@ -95,7 +95,7 @@
     @Test
     void aBrokenStreamIsResumedOrElseAborted() {
         GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
-        on(new GatewayEvent.ResponseProgress(first.attempt(), true));
+        handle(new GatewayEvent.ResponseProgress(first.attempt(), true));
         GatewayAction.Send second = send(end(first, BROKEN));
         assertInstanceOf(GatewayAction.AbortResponse.class, only(end(second, BROKEN)));
     }
@@ -104,7 +104,7 @@
     void theDeadlineEndsARequestAndCancelsItsAttempt() {
         GatewayAction.Send first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
         nowMs += 4000;
-        List<GatewayAction> out = on(new GatewayEvent.Tick());
+        List<GatewayAction> out = handle(new GatewayEvent.Tick());
         assertEquals(new GatewayAction.Cancel(first.attempt()), out.getFirst());
         Verdict v = assertInstanceOf(GatewayAction.Refuse.class, out.getLast()).verdict();
         assertEquals(new Verdict.MayHaveRun(Reason.DEADLINE), v);
@@ -113,7 +113,8 @@
 
     @Test
     void aDrainingUpstreamReceivesNoNewRequests() {
-        on(new GatewayEvent.UpstreamsUpdated(List.of(upstream("a", true), upstream("b", false), upstream("c", true))));
+        handle(new GatewayEvent.UpstreamsUpdated(
+                List.of(upstream("a", true), upstream("b", false), upstream("c", true))));
         for (int i = 1; i <= 20; i++) {
             assertEquals(
                     "b",
@@ -123,7 +124,7 @@
 
     @Test
     void withoutUpstreamsARequestIsRefusedImmediatelyWithARetryDelay() {
-        on(new GatewayEvent.UpstreamsUpdated(List.of()));
+        handle(new GatewayEvent.UpstreamsUpdated(List.of()));
         GatewayAction.Refuse r =
                 assertInstanceOf(GatewayAction.Refuse.class, only(arrive(1, Route.RetrySafety.AT_MOST_ONCE)));
         Verdict.NotRun v = assertInstanceOf(Verdict.NotRun.class, r.verdict());
@@ -135,7 +136,7 @@
         GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
         assertEquals(List.of(DOWN), end(first, GROUP_BROKEN), "the request waits for the group");
         nowMs += 1400;
-        GatewayAction.Refuse r = assertInstanceOf(GatewayAction.Refuse.class, only(on(new GatewayEvent.Tick())));
+        GatewayAction.Refuse r = assertInstanceOf(GatewayAction.Refuse.class, only(handle(new GatewayEvent.Tick())));
         assertInstanceOf(Verdict.NotRun.class, r.verdict());
         assertEquals(0, dispatcher.openRequests());
     }
@@ -163,7 +164,7 @@
         nowMs += 20;
         assertEquals(List.of(), arrive(4, Route.RetrySafety.RESUMABLE, 2));
         assertEquals(List.of(), arrive(5, Route.RetrySafety.RESUMABLE, 0));
-        List<GatewayAction> out = on(new GatewayEvent.ResponseProgress(probe.attempt(), true));
+        List<GatewayAction> out = handle(new GatewayEvent.ResponseProgress(probe.attempt(), true));
         assertEquals(new GatewayAction.GroupStateChanged("s", false, 4), out.getFirst());
         List<Long> order = out.stream()
                 .skip(1)
@@ -177,7 +178,7 @@
     void aMemberOfABrokenGroupIsAvoidedWhileOthersOfItsServiceRespond() {
         GatewayAction.Send active = send(arrive(1, Route.RetrySafety.RESUMABLE));
         GatewayAction.Send rejected = send(arrive(2, Route.RetrySafety.RESUMABLE));
-        on(new GatewayEvent.ResponseProgress(active.attempt(), true));
+        handle(new GatewayEvent.ResponseProgress(active.attempt(), true));
         GatewayAction.Send elsewhere = send(end(rejected, GROUP_BROKEN));
         assertNotEquals(rejected.upstream().id(), elsewhere.upstream().id());
         for (int id = 3; id <= 8; id++) {
@@ -191,7 +192,7 @@
     void requestsAreRefusedInsteadOfQueuedInALongOutage() {
         assertEquals(List.of(DOWN), end(send(arrive(1, Route.RetrySafety.RESUMABLE)), GROUP_BROKEN));
         nowMs += 1500;
-        on(new GatewayEvent.Tick());
+        handle(new GatewayEvent.Tick());
         nowMs += 8000;
         GatewayAction.Send probe = send(arrive(2, Route.RetrySafety.RESUMABLE));
         assertInstanceOf(GatewayAction.Refuse.class, only(end(probe, GROUP_BROKEN)));
@@ -213,12 +214,12 @@
         end(send(arrive(10, Route.RetrySafety.RESUMABLE)), GROUP_BROKEN);
         nowMs += 10;
         GatewayAction.Send probe = send(arrive(11, Route.RetrySafety.RESUMABLE));
-        on(new GatewayEvent.ResponseProgress(probe.attempt(), true));
+        handle(new GatewayEvent.ResponseProgress(probe.attempt(), true));
         GatewayAction.Send first = send(arriveLate(1));
         GatewayAction.Send second = send(arriveLate(2));
         assertEquals(List.of(), arriveLate(3), "two late requests have not started");
         send(arrive(4, Route.RetrySafety.RESUMABLE));
-        GatewayAction.Send third = send(on(new GatewayEvent.ResponseProgress(first.attempt(), true)));
+        GatewayAction.Send third = send(handle(new GatewayEvent.ResponseProgress(first.attempt(), true)));
         assertEquals(3, third.request().id());
         assertEquals(List.of(), arriveLate(5));
         List<GatewayAction> out = end(second, new AttemptOutcome.Completed(200));
@@ -237,8 +238,8 @@
         List<GatewayAction> actions = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             nowMs += 300;
-            actions.addAll(on(new GatewayEvent.ResponseProgress(first.attempt(), true)));
-            actions.addAll(on(new GatewayEvent.ResponseProgress(second.attempt(), true)));
+            actions.addAll(handle(new GatewayEvent.ResponseProgress(first.attempt(), true)));
+            actions.addAll(handle(new GatewayEvent.ResponseProgress(second.attempt(), true)));
             if (!actions.isEmpty()) {
                 break;
             }
@@ -246,7 +247,7 @@
         GatewayAction.QuerySpeeds query = assertInstanceOf(GatewayAction.QuerySpeeds.class, only(actions));
         assertEquals(3, query.upstreams().size());
         String slow = first.upstream().id();
-        List<GatewayAction> out = on(new GatewayEvent.SpeedReported(slow, 4));
+        List<GatewayAction> out = handle(new GatewayEvent.SpeedReported(slow, 4));
         assertEquals(new GatewayAction.Cancel(first.attempt()), out.getFirst());
         assertNotEquals(
                 slow,
@@ -258,7 +259,7 @@
                     slow,
                     send(arrive(id, Route.RetrySafety.RESUMABLE)).upstream().id());
         }
-        on(new GatewayEvent.SpeedReported(slow, 1));
+        handle(new GatewayEvent.SpeedReported(slow, 1));
         assertEquals(
                 slow, send(arrive(9, Route.RetrySafety.RESUMABLE)).upstream().id());
     }
@@ -268,7 +269,7 @@
         GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
         for (int i = 0; i < 50; i++) {
             nowMs += 60;
-            assertEquals(List.of(), on(new GatewayEvent.ResponseProgress(first.attempt(), true)));
+            assertEquals(List.of(), handle(new GatewayEvent.ResponseProgress(first.attempt(), true)));
         }
     }
 
@@ -276,22 +277,22 @@
     void aResponseToAnAttemptSentBeforeTheOutageDoesNotEndIt() {
         GatewayAction.Send old = send(arrive(1, Route.RetrySafety.RESUMABLE));
         end(send(arrive(2, Route.RetrySafety.RESUMABLE)), GROUP_BROKEN);
-        assertEquals(List.of(), on(new GatewayEvent.ResponseProgress(old.attempt(), true)));
+        assertEquals(List.of(), handle(new GatewayEvent.ResponseProgress(old.attempt(), true)));
     }
 
     @Test
     void aWaitingRequestIsRemovedWhenItsCallerDisconnects() {
         end(send(arrive(1, Route.RetrySafety.RESUMABLE)), GROUP_BROKEN);
-        assertEquals(List.of(), on(new GatewayEvent.CallerDisconnected(1)));
+        assertEquals(List.of(), handle(new GatewayEvent.CallerDisconnected(1)));
         nowMs += 5000;
-        assertEquals(List.of(), on(new GatewayEvent.Tick()));
+        assertEquals(List.of(), handle(new GatewayEvent.Tick()));
         assertEquals(0, dispatcher.openRequests());
     }
 
     @Test
     void aStartedStreamIsAbortedImmediatelyWhenItsGroupBreaks() {
         GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
-        on(new GatewayEvent.ResponseProgress(first.attempt(), true));
+        handle(new GatewayEvent.ResponseProgress(first.attempt(), true));
         nowMs += 500;
         GatewayAction.Send second = send(end(first, BROKEN));
         List<GatewayAction> out = end(second, GROUP_BROKEN);
@@ -305,9 +306,9 @@
         GatewayAction.Send active = send(arrive(2, Route.RetrySafety.RESUMABLE));
         assertNotEquals(stalled.upstream().id(), active.upstream().id());
         nowMs += 1000;
-        assertEquals(List.of(), on(new GatewayEvent.Tick()), "all streams are stalled: the whole group pauses");
-        on(new GatewayEvent.ResponseProgress(active.attempt(), true));
-        List<GatewayAction> out = on(new GatewayEvent.Tick());
+        assertEquals(List.of(), handle(new GatewayEvent.Tick()), "all streams are stalled: the whole group pauses");
+        handle(new GatewayEvent.ResponseProgress(active.attempt(), true));
+        List<GatewayAction> out = handle(new GatewayEvent.Tick());
         assertEquals(new GatewayAction.Cancel(stalled.attempt()), out.getFirst());
         assertInstanceOf(GatewayAction.Send.class, out.getLast());
     }
@@ -364,15 +365,15 @@
                 2,
                 0,
                 false);
-        return on(new GatewayEvent.RequestArrived(
+        return handle(new GatewayEvent.RequestArrived(
                 new GatewayRequest(id, route, "s", "t", rank, 0, 0, waited, nowMs * MS, (nowMs + 4000) * MS)));
     }
 
     private List<GatewayAction> end(GatewayAction.Send s, AttemptOutcome outcome) {
-        return on(new GatewayEvent.AttemptEnded(s.attempt(), outcome));
+        return handle(new GatewayEvent.AttemptEnded(s.attempt(), outcome));
     }
 
-    private List<GatewayAction> on(GatewayEvent e) {
+    private List<GatewayAction> handle(GatewayEvent e) {
         return dispatcher.handle(e, nowMs * MS);
     }
 
--- a/core/src/test/java/org/citrontide/core/gateway/GroupOutageLoadTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/GroupOutageLoadTest.java
@@ -149,7 +149,7 @@
                 }
                 if (nowMs % 50 == 0) {
                     for (int g = 0; g < GATEWAYS; g++) {
-                        on(g, new GatewayEvent.Tick());
+                        handle(g, new GatewayEvent.Tick());
                     }
                 }
             }
@@ -196,7 +196,7 @@
                     c.rank,
                     false);
             long end = (c.arrivedMs + DEADLINE_MS) * MS;
-            on(
+            handle(
                     g,
                     new GatewayEvent.RequestArrived(new GatewayRequest(
                             id,
@@ -211,12 +211,12 @@
                             end)));
             schedule(CALLER_TIMEOUT_MS, () -> {
                 if (c.attempt == attempt && !c.hasStarted && open.get(g).remove(id) != null) {
-                    on(g, new GatewayEvent.CallerDisconnected(id));
+                    handle(g, new GatewayEvent.CallerDisconnected(id));
                 }
             });
         }
 
-        private void on(int g, GatewayEvent event) {
+        private void handle(int g, GatewayEvent event) {
             for (GatewayAction action : gateways.get(g).handle(event, nowMs * MS)) {
                 switch (action) {
                     case GatewayAction.Send s -> send(g, s);
@@ -242,7 +242,7 @@
                 rejections++;
                 schedule(
                         2,
-                        () -> on(
+                        () -> handle(
                                 g,
                                 new GatewayEvent.AttemptEnded(
                                         s.attempt(),
@@ -273,7 +273,7 @@
                     if (c != null && !isDown() && liveAttempts.get(g).contains(s.attempt())) {
                         c.startedMs = c.hasStarted ? c.startedMs : nowMs;
                         c.hasStarted = true;
-                        on(g, new GatewayEvent.ResponseProgress(s.attempt(), true));
+                        handle(g, new GatewayEvent.ResponseProgress(s.attempt(), true));
                     }
                 });
             }
@@ -281,7 +281,7 @@
                 running.merge(s.upstream().id(), -1, Integer::sum);
                 if (liveAttempts.get(g).remove(s.attempt())) {
                     AttemptOutcome broken = new AttemptOutcome.Broken(Reason.CONNECTION_LOST);
-                    on(
+                    handle(
                             g,
                             new GatewayEvent.AttemptEnded(
                                     s.attempt(), isDown() ? broken : new AttemptOutcome.Completed(200)));
--- a/core/src/test/java/org/citrontide/core/publication/ConfigurationSyncTest.java
+++ b/core/src/test/java/org/citrontide/core/publication/ConfigurationSyncTest.java
@@ -133,9 +133,9 @@
 
         private void step() {
             for (int i = 0; i < controllers.size(); i++) {
-                on(i, new ConfigurationSyncEvent.Tick(i < 2));
+                handle(i, new ConfigurationSyncEvent.Tick(i < 2));
                 if (stepsToResponse.getOrDefault(i, -1) > 0 && stepsToResponse.merge(i, -1, Integer::sum) == 0) {
-                    on(
+                    handle(
                             i,
                             storeDown
                                     ? new ConfigurationSyncEvent.StoreFailed()
@@ -159,11 +159,11 @@
         private void digest(int from, int to) {
             ConfigurationSyncController c = controllers.get(from);
             Duration age = c.confirmationAge(now * MILLI).orElse(Duration.ofDays(1));
-            on(to, new ConfigurationSyncEvent.PeerDigest(from, c.inForce().version(), age));
+            handle(to, new ConfigurationSyncEvent.PeerDigest(from, c.inForce().version(), age));
         }
 
-        private void on(int i, ConfigurationSyncEvent event) {
-            for (ConfigurationSyncAction a : controllers.get(i).on(event, now * MILLI)) {
+        private void handle(int i, ConfigurationSyncEvent event) {
+            for (ConfigurationSyncAction a : controllers.get(i).handle(event, now * MILLI)) {
                 switch (a) {
                     case ConfigurationSyncAction.RequestFiles p -> answer(i, (int) p.peer());
                     case ConfigurationSyncAction.ReadStore s -> {
@@ -190,7 +190,7 @@
                 versions.put(name, f.version());
                 texts.put(name, f.text());
             });
-            on(to, new ConfigurationSyncEvent.PeerFiles(from, c.version(), versions, texts));
+            handle(to, new ConfigurationSyncEvent.PeerFiles(from, c.version(), versions, texts));
         }
     }
 }
--- a/core/src/test/java/org/citrontide/core/publication/PublicationStateMachineTest.java
+++ b/core/src/test/java/org/citrontide/core/publication/PublicationStateMachineTest.java
@@ -23,7 +23,7 @@
     void concurrentPublicationsOfDisjointFilesBothSucceed() {
         PublicationStateMachine a = machine("a", "roster.toml", ROSTER);
         PublicationStateMachine b = machine("b", "booking.toml", BOOKING);
-        PublicationAction afterRead = a.on(store.execute(a.start()));
+        PublicationAction afterRead = a.handle(store.execute(a.start()));
         assertEquals(new PublicationResult.Published(1), finish(b, b.start()));
         assertEquals(new PublicationResult.Published(2), finish(a, afterRead));
         assertEquals(2, store.head.files().size());
@@ -33,7 +33,7 @@
     void concurrentChangeOfTheSameFileIsAConflict() {
         PublicationStateMachine a = machine("a", "roster.toml", ROSTER);
         PublicationStateMachine b = machine("b", "roster.toml", file("roster", 200));
-        PublicationAction afterRead = a.on(store.execute(a.start()));
+        PublicationAction afterRead = a.handle(store.execute(a.start()));
         finish(b, b.start());
         assertEquals(new PublicationResult.Conflict("roster.toml", "b"), finish(a, afterRead));
         assertEquals(1, store.head.version());
@@ -101,7 +101,7 @@
                 continue;
             }
             s.headResponsesToLose = random.nextInt(4) == 0 ? 1 : 0;
-            next.set(i, machines.get(i).on(s.execute(next.get(i))));
+            next.set(i, machines.get(i).handle(s.execute(next.get(i))));
         }
         int published = 0;
         for (int i = 0; i < 2; i++) {
@@ -116,7 +116,7 @@
     private PublicationResult finish(PublicationStateMachine m, PublicationAction first) {
         PublicationAction action = first;
         while (!(action instanceof PublicationAction.Finish)) {
-            action = m.on(store.execute(action));
+            action = m.handle(store.execute(action));
         }
         return ((PublicationAction.Finish) action).result();
     }
--- a/store/src/main/java/org/citrontide/store/configuration/ConfigurationService.java
+++ b/store/src/main/java/org/citrontide/store/configuration/ConfigurationService.java
@@ -226,7 +226,7 @@
 
         private void step(ConfigurationSyncEvent event) {
             long now = clock.nanos();
-            List<ConfigurationSyncAction> actions = controller.on(event, now);
+            List<ConfigurationSyncAction> actions = controller.handle(event, now);
             confirmedNanos = controller.confirmationAge(now).map(a -> now - a.toNanos());
             actions.forEach(ConfigurationService.this::perform);
         }
