--- a/core/src/main/java/org/citrontide/core/claim/ClaimLedger.java
+++ b/core/src/main/java/org/citrontide/core/claim/ClaimLedger.java
@@ -16,7 +16,7 @@
 /**
  * Ensures that a non-repeatable call runs at most once per idempotency key, across all sidecars of a service.
  *
- * <p>Before the call is sent, a claim is inserted by compare-and-swap into a bucket of the platform's store. Claims
+ * <p>Before the call is sent, a claim is inserted by compare-and-set into a bucket of the platform's store. Claims
  * requested while a write is outstanding are batched into the next one. After a write with an unknown outcome, the
  * bucket is read back.
  *
@@ -81,12 +81,12 @@
         List<ClaimAction> actions = new ArrayList<>();
         switch (event) {
             case ClaimEvent.ClaimRequested r -> requestClaim(r, actions);
-            case ClaimEvent.CallNotSent n -> callNotSent(n.attempt());
-            case ClaimEvent.CallFinished f -> callFinished(f);
-            case ClaimEvent.BucketRead r -> bucketRead(r, nowNanos, actions);
-            case ClaimEvent.BucketWritten w -> bucketWritten(w, nowNanos, actions);
-            case ClaimEvent.BucketConflict c -> bucketConflict(bucket(c.bucket()));
-            case ClaimEvent.BucketFailed f -> bucketFailed(f, actions);
+            case ClaimEvent.CallNotSent n -> handleCallNotSent(n.attempt());
+            case ClaimEvent.CallFinished f -> handleCallFinished(f);
+            case ClaimEvent.BucketRead r -> handleBucketRead(r, nowNanos, actions);
+            case ClaimEvent.BucketWritten w -> handleBucketWritten(w, nowNanos, actions);
+            case ClaimEvent.BucketConflict c -> handleBucketConflict(bucket(c.bucket()));
+            case ClaimEvent.BucketFailed f -> handleBucketFailed(f, actions);
             case ClaimEvent.Tick t -> expireRequests(nowNanos, actions);
         }
         buckets.values().forEach(bucket -> startNextCall(bucket, nowNanos, epochMillis, actions));
@@ -136,7 +136,7 @@
         bucket(pending.key.bucket()).requests.add(pending);
     }
 
-    private void callNotSent(long attempt) {
+    private void handleCallNotSent(long attempt) {
         PendingClaim pending = byAttempt.get(attempt);
         if (pending != null) {
             abandon(pending);
@@ -156,7 +156,7 @@
         }
     }
 
-    private void callFinished(ClaimEvent.CallFinished event) {
+    private void handleCallFinished(ClaimEvent.CallFinished event) {
         PendingClaim pending = byAttempt.remove(event.attempt());
         if (pending == null) {
             return;
@@ -165,7 +165,7 @@
         event.response().ifPresent(r -> responses.put(pending.key, r));
     }
 
-    private void bucketRead(ClaimEvent.BucketRead event, long nowNanos, List<ClaimAction> actions) {
+    private void handleBucketRead(ClaimEvent.BucketRead event, long nowNanos, List<ClaimAction> actions) {
         ClaimBucketState bucket = bucket(event.bucket());
         bucket.outstandingCall = ClaimBucketState.Call.NONE;
         ClaimBucketState.Snapshot snapshot = ClaimBucketState.Snapshot.of(event.revision(), event.claims());
@@ -179,7 +179,7 @@
         }
     }
 
-    private void bucketWritten(ClaimEvent.BucketWritten event, long nowNanos, List<ClaimAction> actions) {
+    private void handleBucketWritten(ClaimEvent.BucketWritten event, long nowNanos, List<ClaimAction> actions) {
         ClaimBucketState bucket = bucket(event.bucket());
         bucket.outstandingCall = ClaimBucketState.Call.NONE;
         bucket.snapshot = Optional.of(ClaimBucketState.Snapshot.of(event.revision(), bucket.writtenClaims));
@@ -203,13 +203,13 @@
         actions.add(new ClaimAction.GrantClaim(pending.attempt));
     }
 
-    private void bucketConflict(ClaimBucketState bucket) {
+    private void handleBucketConflict(ClaimBucketState bucket) {
         bucket.outstandingCall = ClaimBucketState.Call.NONE;
         bucket.snapshot = Optional.empty();
         requeueWrite(bucket);
     }
 
-    private void bucketFailed(ClaimEvent.BucketFailed event, List<ClaimAction> actions) {
+    private void handleBucketFailed(ClaimEvent.BucketFailed event, List<ClaimAction> actions) {
         ClaimBucketState bucket = bucket(event.bucket());
         boolean isOutcomeUnknown = bucket.outstandingCall == ClaimBucketState.Call.WRITE && event.mayHaveTakenEffect();
         bucket.outstandingCall = ClaimBucketState.Call.NONE;
--- a/core/src/main/java/org/citrontide/core/dispatch/Dispatcher.java
+++ b/core/src/main/java/org/citrontide/core/dispatch/Dispatcher.java
@@ -84,16 +84,16 @@
     public List<DispatchAction> handle(DispatchEvent event, long nowNanos) {
         EventHandler handler = new EventHandler(nowNanos);
         switch (event) {
-            case DispatchEvent.RequestArrived a -> handler.requestArrived(a.request());
-            case DispatchEvent.CallerDisconnected g -> handler.callerDisconnected(g.request());
+            case DispatchEvent.RequestArrived a -> handler.handleRequestArrived(a.request());
+            case DispatchEvent.CallerDisconnected g -> handler.handleCallerDisconnected(g.request());
             case DispatchEvent.SendFailed n ->
-                handler.attemptEnded(
+                handler.handleAttemptEnded(
                         n.attempt(), new Verdict.NotRun(Reason.CONNECTION_LOST, NO_UPSTREAM_RETRY_AFTER), 0);
-            case DispatchEvent.AnswerHead h -> handler.answerHead(h);
-            case DispatchEvent.AnswerChunk c -> handler.answerChunk(c);
-            case DispatchEvent.AttemptEnded e -> handler.attemptEnded(e.attempt(), e.verdict(), e.length());
+            case DispatchEvent.AnswerHead h -> handler.handleAnswerHead(h);
+            case DispatchEvent.AnswerChunk c -> handler.handleAnswerChunk(c);
+            case DispatchEvent.AttemptEnded e -> handler.handleAttemptEnded(e.attempt(), e.verdict(), e.length());
             case DispatchEvent.LinkUp u -> directory.markLinkUp(u.upstream());
-            case DispatchEvent.LinkDown d -> handler.linkDown(d.upstream());
+            case DispatchEvent.LinkDown d -> handler.handleLinkDown(d.upstream());
             case DispatchEvent.ReportReceived r -> directory.updateReport(r.upstream(), r.report());
             case DispatchEvent.VmListChanged l -> handler.updateLinks(directory.updateList(l.vms()));
             case DispatchEvent.ConfigurationChanged c -> configuration = c.configuration();
@@ -150,8 +150,8 @@
         return !directory.acceptingUpstreams(service).isEmpty();
     }
 
-    private static AdmissionKey admissionKey(DispatchRequest r) {
-        return new AdmissionKey(r.service(), r.urgency(), r.team());
+    private static AdmissionKey admissionKey(DispatchRequest request) {
+        return new AdmissionKey(request.service(), request.urgency(), request.team());
     }
 
     private RetryBudget retryBudget(String service) {
@@ -167,224 +167,229 @@
             this.nowNanos = nowNanos;
         }
 
-        private void requestArrived(DispatchRequest r) {
-            Optional<Verdict.NotRun> refusal = admission.admit(admissionKey(r), nowNanos);
+        private void handleRequestArrived(DispatchRequest request) {
+            Optional<Verdict.NotRun> refusal = admission.admit(admissionKey(request), nowNanos);
             if (refusal.isPresent()) {
-                actions.add(new DispatchAction.RefuseRequest(r.id(), refusal.get()));
+                actions.add(new DispatchAction.RefuseRequest(request.id(), refusal.get()));
                 return;
             }
-            ServiceFile file = configuration.services().get(r.service());
+            ServiceFile file = configuration.services().get(request.service());
             if (file == null) {
-                refuse(r, Reason.UNKNOWN_SERVICE, Duration.ZERO);
+                refuse(request, Reason.UNKNOWN_SERVICE, Duration.ZERO);
                 return;
             }
-            retryBudget(r.service()).recordFirstAttempt(file.limits().retryPercent());
-            OpenRequest o = new OpenRequest(r);
-            openRequests.put(r.id(), o);
-            byDeadline.add(r);
-            sendNextAttempt(o);
+            retryBudget(request.service()).recordFirstAttempt(file.limits().retryPercent());
+            OpenRequest open = new OpenRequest(request);
+            openRequests.put(request.id(), open);
+            byDeadline.add(request);
+            sendNextAttempt(open);
         }
 
-        private void refuse(DispatchRequest r, Reason reason, Duration retryAfter) {
-            actions.add(new DispatchAction.RefuseRequest(r.id(), new Verdict.NotRun(reason, retryAfter)));
+        private void refuse(DispatchRequest request, Reason reason, Duration retryAfter) {
+            actions.add(new DispatchAction.RefuseRequest(request.id(), new Verdict.NotRun(reason, retryAfter)));
         }
 
         /** Sends the next attempt, or finishes the request if its deadline has passed or no upstream is left to try. */
-        private void sendNextAttempt(OpenRequest o) {
-            DispatchRequest r = o.request;
-            if (nowNanos >= r.deadlineNanos()) {
-                finish(o, new Verdict.NotRun(Reason.DEADLINE, Duration.ZERO));
+        private void sendNextAttempt(OpenRequest open) {
+            DispatchRequest request = open.request;
+            if (nowNanos >= request.deadlineNanos()) {
+                finish(open, new Verdict.NotRun(Reason.DEADLINE, Duration.ZERO));
                 return;
             }
-            List<Upstream> accepting = directory.acceptingUpstreams(r.service());
-            Optional<Upstream> choice = r.bucket().isPresent()
+            List<Upstream> accepting = directory.acceptingUpstreams(request.service());
+            Optional<Upstream> choice = request.bucket().isPresent()
                     ? router.chooseForBucket(
-                            accepting, o.triedUpstreams, r.bucket().get())
-                    : router.choose(accepting, o.triedUpstreams, r.urgency());
+                            accepting, open.triedUpstreams, request.bucket().get())
+                    : router.choose(accepting, open.triedUpstreams, request.urgency());
             if (choice.isEmpty()) {
-                finish(o, new Verdict.NotRun(Reason.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER));
+                finish(open, new Verdict.NotRun(Reason.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER));
                 return;
             }
             UpstreamId id = choice.get().vm().id();
             long attempt = nextAttempt++;
-            o.beginAttempt(new OpenRequest.Attempt(attempt, id));
-            byAttempt.put(attempt, o);
-            directory.recordSent(id, r.urgency());
-            Duration left = Duration.ofNanos(r.deadlineNanos() - nowNanos);
+            open.beginAttempt(new OpenRequest.Attempt(attempt, id));
+            byAttempt.put(attempt, open);
+            directory.recordSent(id, request.urgency());
+            Duration left = Duration.ofNanos(request.deadlineNanos() - nowNanos);
             Duration remaining = left.compareTo(DEADLINE_SLACK.multipliedBy(2)) > 0 ? left.minus(DEADLINE_SLACK) : left;
-            actions.add(new DispatchAction.SendAttempt(attempt, id, r.id(), remaining, o.splitter.eventCount()));
+            actions.add(
+                    new DispatchAction.SendAttempt(attempt, id, request.id(), remaining, open.splitter.eventCount()));
         }
 
         private Optional<OpenRequest> findByAttempt(long attempt) {
-            Optional<OpenRequest> o = Optional.ofNullable(byAttempt.get(attempt));
-            if (o.isEmpty()) {
+            Optional<OpenRequest> open = Optional.ofNullable(byAttempt.get(attempt));
+            if (open.isEmpty()) {
                 droppedFrames++;
             }
-            return o;
+            return open;
         }
 
-        private void answerHead(DispatchEvent.AnswerHead h) {
-            Optional<OpenRequest> found = findByAttempt(h.attempt());
+        private void handleAnswerHead(DispatchEvent.AnswerHead head) {
+            Optional<OpenRequest> found = findByAttempt(head.attempt());
             if (found.isEmpty()) {
                 return;
             }
-            OpenRequest o = found.get();
-            if (o.status != 0) {
-                abortAttempt(o, Reason.ANSWER_BROKEN);
+            OpenRequest open = found.get();
+            if (open.status != 0) {
+                abortAttempt(open, Reason.ANSWER_BROKEN);
                 return;
             }
-            o.status = h.status();
-            o.contentType = h.contentType();
-            o.streamed = h.contentType().startsWith(EVENT_STREAM);
-            if (o.streamBegun && !o.streamed) {
-                abortAttempt(o, Reason.ANSWER_BROKEN);
+            open.status = head.status();
+            open.contentType = head.contentType();
+            open.streamed = head.contentType().startsWith(EVENT_STREAM);
+            if (open.streamBegun && !open.streamed) {
+                abortAttempt(open, Reason.ANSWER_BROKEN);
             }
         }
 
-        private void answerChunk(DispatchEvent.AnswerChunk c) {
-            Optional<OpenRequest> found = findByAttempt(c.attempt());
+        private void handleAnswerChunk(DispatchEvent.AnswerChunk chunk) {
+            Optional<OpenRequest> found = findByAttempt(chunk.attempt());
             if (found.isEmpty()) {
                 return;
             }
-            OpenRequest o = found.get();
-            if (o.status == 0 || c.offset() != o.receivedBytes) {
-                abortAttempt(o, Reason.ANSWER_BROKEN);
+            OpenRequest open = found.get();
+            if (open.status == 0 || chunk.offset() != open.receivedBytes) {
+                abortAttempt(open, Reason.ANSWER_BROKEN);
                 return;
             }
-            o.receivedBytes += c.data().length;
-            UpstreamId upstream = o.currentAttempt.orElseThrow().upstream();
-            if (!o.streamed) {
-                bufferChunk(o, c, upstream);
+            open.receivedBytes += chunk.data().length;
+            UpstreamId upstream = open.currentAttempt.orElseThrow().upstream();
+            if (!open.streamed) {
+                bufferChunk(open, chunk, upstream);
                 return;
             }
-            byte[] events = o.splitter.append(c.data());
+            byte[] events = open.splitter.append(chunk.data());
             if (events.length == 0) {
-                actions.add(new DispatchAction.GrantCredit(c.attempt(), upstream, c.data().length));
+                actions.add(new DispatchAction.GrantCredit(chunk.attempt(), upstream, chunk.data().length));
                 return;
             }
-            if (!o.streamBegun) {
-                o.streamBegun = true;
-                actions.add(new DispatchAction.BeginStream(o.request.id(), o.status, o.contentType));
+            if (!open.streamBegun) {
+                open.streamBegun = true;
+                actions.add(new DispatchAction.BeginStream(open.request.id(), open.status, open.contentType));
             }
-            actions.add(new DispatchAction.SendEvents(o.request.id(), c.attempt(), upstream, events, c.data().length));
+            actions.add(new DispatchAction.SendEvents(
+                    open.request.id(), chunk.attempt(), upstream, events, chunk.data().length));
         }
 
-        private void bufferChunk(OpenRequest o, DispatchEvent.AnswerChunk c, UpstreamId upstream) {
-            if (o.receivedBytes > MAX_BUFFERED_BYTES) {
-                abortAttempt(o, Reason.ANSWER_BROKEN);
+        private void bufferChunk(OpenRequest open, DispatchEvent.AnswerChunk chunk, UpstreamId upstream) {
+            if (open.receivedBytes > MAX_BUFFERED_BYTES) {
+                abortAttempt(open, Reason.ANSWER_BROKEN);
                 return;
             }
-            o.body.writeBytes(c.data());
-            actions.add(new DispatchAction.GrantCredit(c.attempt(), upstream, c.data().length));
+            open.body.writeBytes(chunk.data());
+            actions.add(new DispatchAction.GrantCredit(chunk.attempt(), upstream, chunk.data().length));
         }
 
         /** Cancels an attempt whose frames do not form a valid answer. */
-        private void abortAttempt(OpenRequest o, Reason reason) {
-            OpenRequest.Attempt a = o.currentAttempt.orElseThrow();
-            actions.add(new DispatchAction.CancelAttempt(a.number(), a.upstream()));
-            attemptEnded(a.number(), new Verdict.MayHaveRun(reason), 0);
+        private void abortAttempt(OpenRequest open, Reason reason) {
+            OpenRequest.Attempt attempt = open.currentAttempt.orElseThrow();
+            actions.add(new DispatchAction.CancelAttempt(attempt.number(), attempt.upstream()));
+            handleAttemptEnded(attempt.number(), new Verdict.MayHaveRun(reason), 0);
         }
 
-        private void attemptEnded(long attempt, Verdict verdict, long length) {
+        private void handleAttemptEnded(long attempt, Verdict verdict, long length) {
             Optional<OpenRequest> found = findByAttempt(attempt);
             if (found.isEmpty()) {
                 return;
             }
-            OpenRequest o = found.get();
+            OpenRequest open = found.get();
             byAttempt.remove(attempt);
-            UpstreamId upstream = o.currentAttempt.orElseThrow().upstream();
-            o.currentAttempt = Optional.empty();
-            Verdict outcome = verdict instanceof Verdict.Completed c ? checkComplete(o, c, length) : verdict;
-            directory.recordEnded(upstream, o.request.urgency(), isUpstreamFailure(outcome));
-            o.mayHaveRun |= outcome instanceof Verdict.MayHaveRun;
-            retryOrFinish(o, outcome);
+            UpstreamId upstream = open.currentAttempt.orElseThrow().upstream();
+            open.currentAttempt = Optional.empty();
+            Verdict outcome = verdict instanceof Verdict.Completed c ? checkComplete(open, c, length) : verdict;
+            directory.recordEnded(upstream, open.request.urgency(), isUpstreamFailure(outcome));
+            open.mayHaveRun |= outcome instanceof Verdict.MayHaveRun;
+            retryOrFinish(open, outcome);
         }
 
-        private Verdict checkComplete(OpenRequest o, Verdict.Completed c, long length) {
-            boolean isComplete = o.status != 0 && o.receivedBytes == length && (!o.streamed || o.splitter.isComplete());
-            return isComplete ? c : new Verdict.MayHaveRun(Reason.ANSWER_BROKEN);
+        private Verdict checkComplete(OpenRequest open, Verdict.Completed completed, long length) {
+            boolean isComplete =
+                    open.status != 0 && open.receivedBytes == length && (!open.streamed || open.splitter.isComplete());
+            return isComplete ? completed : new Verdict.MayHaveRun(Reason.ANSWER_BROKEN);
         }
 
-        private void retryOrFinish(OpenRequest o, Verdict outcome) {
-            DispatchRequest r = o.request;
-            if (o.streamBegun && o.splitter.isComplete()) {
-                finish(o, new Verdict.Completed(o.status));
+        private void retryOrFinish(OpenRequest open, Verdict outcome) {
+            DispatchRequest request = open.request;
+            if (open.streamBegun && open.splitter.isComplete()) {
+                finish(open, new Verdict.Completed(open.status));
                 return;
             }
-            RetryContext facts = new RetryContext(r.repeatable(), o.attemptCount, r.deadlineNanos());
-            if (RetryPolicy.shouldRetry(facts, outcome, retryBudget(r.service()), nowNanos)) {
+            RetryContext retryContext =
+                    new RetryContext(request.repeatable(), open.attemptCount, request.deadlineNanos());
+            if (RetryPolicy.shouldRetry(retryContext, outcome, retryBudget(request.service()), nowNanos)) {
                 retries++;
-                sendNextAttempt(o);
+                sendNextAttempt(open);
                 return;
             }
-            finish(o, outcome);
+            finish(open, outcome);
         }
 
-        private void finish(OpenRequest o, Verdict verdict) {
-            removeRequest(o);
-            updateAdmission(o.request, verdict);
-            Verdict end =
-                    verdict instanceof Verdict.NotRun n && o.mayHaveRun ? new Verdict.MayHaveRun(n.reason()) : verdict;
-            if (o.streamBegun) {
-                actions.add(new DispatchAction.EndStream(o.request.id(), end));
+        private void finish(OpenRequest open, Verdict verdict) {
+            removeRequest(open);
+            updateAdmission(open.request, verdict);
+            Verdict end = verdict instanceof Verdict.NotRun n && open.mayHaveRun
+                    ? new Verdict.MayHaveRun(n.reason())
+                    : verdict;
+            if (open.streamBegun) {
+                actions.add(new DispatchAction.EndStream(open.request.id(), end));
                 return;
             }
             if (verdict instanceof Verdict.Completed) {
-                actions.add(
-                        new DispatchAction.SendAnswer(o.request.id(), o.status, o.contentType, o.body.toByteArray()));
+                actions.add(new DispatchAction.SendAnswer(
+                        open.request.id(), open.status, open.contentType, open.body.toByteArray()));
                 return;
             }
-            actions.add(new DispatchAction.RefuseRequest(o.request.id(), end));
+            actions.add(new DispatchAction.RefuseRequest(open.request.id(), end));
         }
 
-        private void updateAdmission(DispatchRequest r, Verdict verdict) {
+        private void updateAdmission(DispatchRequest request, Verdict verdict) {
             switch (verdict) {
-                case Verdict.Completed c -> admission.recordAccepted(admissionKey(r));
+                case Verdict.Completed c -> admission.recordAccepted(admissionKey(request));
                 case Verdict.NotRun n
-                when n.reason() == Reason.OVERLOADED -> admission.recordRefused(admissionKey(r), nowNanos);
+                when n.reason() == Reason.OVERLOADED -> admission.recordRefused(admissionKey(request), nowNanos);
                 default -> {
                     // Other outcomes carry no information about the load of the service.
                 }
             }
         }
 
-        private void removeRequest(OpenRequest o) {
-            openRequests.remove(o.request.id());
-            byDeadline.remove(o.request);
-            o.currentAttempt.ifPresent(a -> {
+        private void removeRequest(OpenRequest open) {
+            openRequests.remove(open.request.id());
+            byDeadline.remove(open.request);
+            open.currentAttempt.ifPresent(a -> {
                 byAttempt.remove(a.number());
-                directory.recordEnded(a.upstream(), o.request.urgency(), false);
+                directory.recordEnded(a.upstream(), open.request.urgency(), false);
                 actions.add(new DispatchAction.CancelAttempt(a.number(), a.upstream()));
             });
-            o.currentAttempt = Optional.empty();
+            open.currentAttempt = Optional.empty();
         }
 
-        private void callerDisconnected(long request) {
+        private void handleCallerDisconnected(long request) {
             Optional.ofNullable(openRequests.get(request)).ifPresent(this::removeRequest);
         }
 
-        private void linkDown(UpstreamId upstream) {
+        private void handleLinkDown(UpstreamId upstream) {
             directory.markLinkDown(upstream);
             List<Long> lost = byAttempt.values().stream()
-                    .map(o -> o.currentAttempt.orElseThrow())
+                    .map(open -> open.currentAttempt.orElseThrow())
                     .filter(a -> a.upstream().equals(upstream))
                     .map(OpenRequest.Attempt::number)
                     .toList();
-            lost.forEach(a -> attemptEnded(a, new Verdict.MayHaveRun(Reason.CONNECTION_LOST), 0));
+            lost.forEach(number -> handleAttemptEnded(number, new Verdict.MayHaveRun(Reason.CONNECTION_LOST), 0));
         }
 
         private void updateLinks(UpstreamDirectory.LinkChanges changes) {
-            changes.dial().forEach(id -> actions.add(new DispatchAction.OpenLink(id)));
-            changes.drop().forEach(id -> actions.add(new DispatchAction.CloseLink(id)));
+            changes.toOpen().forEach(id -> actions.add(new DispatchAction.OpenLink(id)));
+            changes.toClose().forEach(id -> actions.add(new DispatchAction.CloseLink(id)));
         }
 
         private void expireRequests() {
             while (!byDeadline.isEmpty() && byDeadline.first().deadlineNanos() <= nowNanos) {
-                OpenRequest o = openRequests.get(byDeadline.first().id());
-                Verdict verdict = o.currentAttempt.isPresent()
+                OpenRequest open = openRequests.get(byDeadline.first().id());
+                Verdict verdict = open.currentAttempt.isPresent()
                         ? new Verdict.MayHaveRun(Reason.DEADLINE)
                         : new Verdict.NotRun(Reason.DEADLINE, Duration.ZERO);
-                finish(o, verdict);
+                finish(open, verdict);
             }
         }
     }
--- a/core/src/main/java/org/citrontide/core/expertmap/DemandEstimator.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/DemandEstimator.java
@@ -12,13 +12,13 @@
  * is an exponentially weighted average of the differences between reads. Not thread-safe.
  */
 final class DemandEstimator {
-    // Averages a steady demand over about three reads, because one read covers few requests.
+    // Weight of a new read while the demand is steady: averages over about three reads, as one covers few requests.
     private static final double STEADY_WEIGHT = 0.4;
-    // After a shift, older counts say little about the demand.
+    // Weight of a new read after a shift: older counts say little about the demand.
     private static final double SHIFTED_WEIGHT = 0.9;
     // Reads of a steady demand differ by 3 to 7%; a shift moves a quarter of the selections or more.
     private static final double SHIFT_THRESHOLD = 0.15;
-    // Keeps experts that were rarely selected from being treated as idle.
+    // Added to the shares of a set, in equal parts, so that rarely selected experts are not treated as idle.
     private static final double FLOOR_SHARE = 0.1;
 
     private final int sets;
@@ -59,8 +59,8 @@
     /** Updates the estimate with the counts recorded since the last update; returns false if there were too few. */
     boolean update(long minPerSet) {
         long total = 0;
-        for (long f : newCounts) {
-            total += f;
+        for (long count : newCounts) {
+            total += count;
         }
         if (total < minPerSet * sets) {
             return false;
--- a/core/src/main/java/org/citrontide/core/expertmap/GroupMapChange.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/GroupMapChange.java
@@ -221,8 +221,8 @@
         };
     }
 
-    private void enterState(State s, List<String> targets, EventContext context) {
-        state = s;
+    private void enterState(State newState, List<String> targets, EventContext context) {
+        state = newState;
         stateStartNanos = context.nowNanos();
         nextPollNanos = context.nowNanos();
         pendingReports.clear();
@@ -253,13 +253,13 @@
         }
     }
 
-    private void handleReportWhileArming(String id, RankReport r, EventContext context) {
-        if (r.step() >= holdStep) {
+    private void handleReportWhileArming(String id, RankReport report, EventContext context) {
+        if (report.step() >= holdStep) {
             context.log("map-change-ended-by-other", "version " + version + " pass " + holdStep);
             state = State.ENDED;
             return;
         }
-        if (orders.isPending(id) && r.armed().isPresent() && r.armed().getAsLong() == version) {
+        if (orders.isPending(id) && report.armed().isPresent() && report.armed().getAsLong() == version) {
             completeOrder(id, context);
         }
     }
--- a/core/src/main/java/org/citrontide/core/expertmap/GroupMapController.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/GroupMapController.java
@@ -13,6 +13,9 @@
 /**
  * Adapts the expert map of one group to the demand while this process is the elected leader.
  *
+ * <p>The ranks of a group run numbered passes together, and a new map takes effect in the same pass on all ranks.
+ * In orders and reports, a step is the number of a pass.
+ *
  * <p>Invariants: before a new change starts, the reports of all ranks are read, and a change found in progress is
  * completed; at most one change is in progress at a time; a map version is used in one term only.
  *
@@ -64,7 +67,7 @@
     private final PassEstimator passEstimator = new PassEstimator();
     private final RoundTimeEstimator roundTimeEstimator = new RoundTimeEstimator();
     private Duration targetGap = Duration.ZERO;
-    private Optional<RebalancePolicy> decision = Optional.empty();
+    private Optional<RebalancePolicy> rebalancePolicy = Optional.empty();
     private Optional<GroupMap> current = Optional.empty();
     private Optional<GroupMap> next = Optional.empty();
     private Optional<GroupMapChange> change = Optional.empty();
@@ -108,7 +111,7 @@
                 roundTimeEstimator.recordOrder(r.outcome() != OrderOutcome.UNANSWERED);
                 change.ifPresent(c -> c.handleOutcome(r.upstream(), r.order(), r.outcome(), context));
             }
-            case MapEvent.SearchEnded s -> handleFoundMap(s.map(), context);
+            case MapEvent.SearchEnded s -> handleSearchEnded(s.map(), context);
             case MapEvent.Tick t -> tick(context);
         }
         change.ifPresent(c -> handleChangeState(c, context));
@@ -133,8 +136,8 @@
         }
     }
 
-    private void enterPhase(Phase p, EventContext context) {
-        phase = p;
+    private void enterPhase(Phase newPhase, EventContext context) {
+        phase = newPhase;
         phaseStartNanos = context.nowNanos();
         nextActionNanos = context.nowNanos();
         pendingReads.clear();
@@ -177,16 +180,16 @@
         nextActionNanos = context.nowNanos() + OBSERVE_INTERVAL.toNanos();
     }
 
-    private void handleReport(MapEvent.ReportRead r, EventContext context) {
-        change.ifPresent(c -> c.handleReport(r.upstream(), r.report(), context));
-        r.report().ifPresent(x -> recordSpeed(r.upstream(), x));
+    private void handleReport(MapEvent.ReportRead read, EventContext context) {
+        change.ifPresent(c -> c.handleReport(read.upstream(), read.report(), context));
+        read.report().ifPresent(report -> recordSpeed(read.upstream(), report));
         if (isIdle()) {
-            checkForNewPass(r, context);
+            checkForNewPass(read, context);
         }
-        if (phase != Phase.OBSERVING || !pendingReads.remove(r.upstream())) {
+        if (phase != Phase.OBSERVING || !pendingReads.remove(read.upstream())) {
             return;
         }
-        r.report().ifPresent(x -> reports.add(r.upstream(), x));
+        read.report().ifPresent(report -> reports.add(read.upstream(), report));
         if (pendingReads.isEmpty()) {
             evaluateReports(context);
         }
@@ -197,8 +200,8 @@
     }
 
     /** Checks the report of one rank of an idle group for a new pass. */
-    private void checkForNewPass(MapEvent.ReportRead r, EventContext context) {
-        Optional<RankReport> report = r.report().filter(x -> x.isOpen() && x.epoch() == epoch);
+    private void checkForNewPass(MapEvent.ReportRead read, EventContext context) {
+        Optional<RankReport> report = read.report().filter(x -> x.isOpen() && x.epoch() == epoch);
         report.ifPresent(x -> passEstimator.recordStep(x.step(), context.nowNanos()));
         if (report.isEmpty() || passEstimator.unchangedReads() >= UNCHANGED_READS_TO_OBSERVE) {
             startObserving(Duration.ZERO, context);
@@ -210,7 +213,7 @@
     private void recordSpeed(String upstream, RankReport r) {
         int rank = ranks.indexOf(upstream);
         if (rank >= 0 && r.epoch() == epoch) {
-            decision.ifPresent(d -> d.updateRankSpeed(rank, speed(r)));
+            rebalancePolicy.ifPresent(p -> p.updateRankSpeed(rank, speed(r)));
         }
     }
 
@@ -265,12 +268,12 @@
         if (first.epoch() != epoch) {
             epoch = first.epoch();
             current = Optional.empty();
-            decision.ifPresent(RebalancePolicy::resetCounters);
+            rebalancePolicy.ifPresent(RebalancePolicy::resetCounters);
         }
-        if (decision.isEmpty()) {
-            decision = Optional.of(new RebalancePolicy(profile, context.nowNanos()));
+        if (rebalancePolicy.isEmpty()) {
+            rebalancePolicy = Optional.of(new RebalancePolicy(profile, context.nowNanos()));
         }
-        decision.get().setRankSpeeds(speeds);
+        rebalancePolicy.get().setRankSpeeds(speeds);
     }
 
     private void readExperts(EventContext context) {
@@ -279,19 +282,19 @@
         ranks.forEach(id -> context.add(new MapAction.ReadExperts(id)));
     }
 
-    private void handleExperts(MapEvent.ExpertsRead e, EventContext context) {
+    private void handleExperts(MapEvent.ExpertsRead read, EventContext context) {
         if (phase != Phase.READING_EXPERTS) {
             return;
         }
-        int rank = ranks.indexOf(e.upstream());
-        if (rank < 0 || e.experts().isEmpty()) {
+        int rank = ranks.indexOf(read.upstream());
+        if (rank < 0 || read.experts().isEmpty()) {
             startObserving(OBSERVE_INTERVAL, context);
             return;
         }
-        expertsByRank.put(rank, e.experts().get());
+        expertsByRank.put(rank, read.experts().get());
         if (expertsByRank.size() == ranks.size()) {
             current = Optional.of(
-                    GroupMap.fromRanks(e.version(), List.copyOf(expertsByRank.values()), profile.expertsPerSet()));
+                    GroupMap.fromRanks(read.version(), List.copyOf(expertsByRank.values()), profile.expertsPerSet()));
             startSampling(Duration.ZERO, context);
         }
     }
@@ -306,15 +309,17 @@
         if (context.nowNanos() < nextActionNanos) {
             return;
         }
-        Duration interval =
-                decision.orElseThrow().hasDemandEstimate() ? effort().sampleInterval() : INITIAL_SAMPLE_INTERVAL;
+        Duration interval = rebalancePolicy.orElseThrow().hasDemandEstimate()
+                ? rebalanceParameters().sampleInterval()
+                : INITIAL_SAMPLE_INTERVAL;
         nextActionNanos = context.nowNanos() + interval.toNanos();
         if (isIdle()) {
             context.add(new MapAction.ReadReport(ranks.getFirst()));
             return;
         }
         if (context.nowNanos() >= nextSpeedReadNanos) {
-            nextSpeedReadNanos = context.nowNanos() + effort().speedInterval().toNanos();
+            nextSpeedReadNanos =
+                    context.nowNanos() + rebalanceParameters().speedInterval().toNanos();
             ranks.forEach(id -> context.add(new MapAction.ReadReport(id)));
         }
         int count = Math.min(SAMPLED_RANKS, ranks.size());
@@ -326,40 +331,40 @@
         }
     }
 
-    private RebalanceParameters effort() {
-        return decision.orElseThrow().parameters();
+    private RebalanceParameters rebalanceParameters() {
+        return rebalancePolicy.orElseThrow().parameters();
     }
 
-    private void handleCounts(MapEvent.CountsRead c, EventContext context) {
-        if (phase != Phase.SAMPLING || !pendingReads.remove(c.upstream())) {
+    private void handleCounts(MapEvent.CountsRead read, EventContext context) {
+        if (phase != Phase.SAMPLING || !pendingReads.remove(read.upstream())) {
             return;
         }
-        if (c.counts().isEmpty()) {
+        if (read.counts().isEmpty()) {
             failedReads++;
             if (failedReads >= MAX_FAILED_READS) {
                 startObserving(Duration.ZERO, context);
             }
             return;
         }
-        MapEvent.ExpertCounts counts = c.counts().get();
-        int rank = ranks.indexOf(c.upstream());
+        MapEvent.ExpertCounts counts = read.counts().get();
+        int rank = ranks.indexOf(read.upstream());
         if (counts.epoch() != epoch) {
             newestSeenEpoch = counts.epoch();
             startObserving(Duration.ZERO, context);
             return;
         }
-        if (!decision.orElseThrow().recordCounts(rank, counts.counts())) {
+        if (!rebalancePolicy.orElseThrow().recordCounts(rank, counts.counts())) {
             startObserving(OBSERVE_INTERVAL, context);
             return;
         }
         failedReads = 0;
         passEstimator.recordStep(counts.step(), context.nowNanos());
         if (pendingReads.isEmpty()) {
-            decide(context);
+            searchIfDue(context);
         }
     }
 
-    private void decide(EventContext context) {
+    private void searchIfDue(EventContext context) {
         if (passEstimator.unchangedReads() >= UNCHANGED_READS_TO_OBSERVE) {
             startObserving(Duration.ZERO, context);
             return;
@@ -368,10 +373,10 @@
             awaitPass(context);
             return;
         }
-        decision.orElseThrow().updatePassTime(passEstimator.passTime(), targetGap, context.nowNanos());
+        rebalancePolicy.orElseThrow().updatePassTime(passEstimator.passTime(), targetGap, context.nowNanos());
         long version = term * VERSIONS_PER_TERM + searchesInTerm + 1;
         Optional<MapAction.SearchMap> search =
-                decision.orElseThrow().nextSearch(current.orElseThrow(), version, context.nowNanos());
+                rebalancePolicy.orElseThrow().nextSearch(current.orElseThrow(), version, context.nowNanos());
         if (search.isPresent()) {
             searchesInTerm++;
             enterPhase(Phase.SEARCHING, context);
@@ -394,17 +399,17 @@
         }
     }
 
-    private void handleFoundMap(GroupMap map, EventContext context) {
+    private void handleSearchEnded(GroupMap map, EventContext context) {
         if (phase != Phase.SEARCHING) {
             return;
         }
-        RebalancePolicy d = decision.orElseThrow();
+        RebalancePolicy policy = rebalancePolicy.orElseThrow();
         GroupMap from = current.orElseThrow();
-        if (!d.isWorthwhile(map, from)) {
-            startSampling(effort().sampleInterval(), context);
+        if (!policy.isWorthwhile(map, from)) {
+            startSampling(rebalanceParameters().sampleInterval(), context);
             return;
         }
-        context.log("map-change-begun", d.describe(map, from));
+        context.log("map-change-begun", policy.describe(map, from));
         enterPhase(Phase.CHANGING, context);
         next = Optional.of(map);
         Duration copy = profile.expertCopyTime(map.maxNewExpertsPerRank(from));
@@ -420,7 +425,7 @@
                 lastHolder = c.holder();
                 passWaits = 0;
                 if (isElected) {
-                    decision.orElseThrow().requestDecision();
+                    rebalancePolicy.orElseThrow().requestReevaluation();
                     startSampling(DELAY_AFTER_CHANGE, context);
                 } else {
                     enterPhase(Phase.IDLE, context);
--- a/core/src/main/java/org/citrontide/core/expertmap/PlacementImprover.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/PlacementImprover.java
@@ -51,9 +51,9 @@
         added = new int[ranks];
         for (int r = 0; r < ranks; r++) {
             Arrays.fill(slots[r], FREE);
-            for (int p = 0; p < current.experts()[r].length; p++) {
-                int e = current.experts()[r][p];
-                slots[r][p] = e;
+            for (int s = 0; s < current.experts()[r].length; s++) {
+                int e = current.experts()[r][s];
+                slots[r][s] = e;
                 initiallyHeld[r][e] = true;
                 held[r][e] = true;
                 replicas[e]++;
@@ -91,8 +91,8 @@
         double lowestCost = norm(rankTimes) * (1 - minGain);
         Change best = null;
         for (int hot : mostLoadedRanks(rankTimes)) {
-            for (int p = 0; p < slots[hot].length; p++) {
-                for (Change c : candidateChanges(hot, p)) {
+            for (int s = 0; s < slots[hot].length; s++) {
+                for (Change c : candidateChanges(hot, s)) {
                     double cost = cost(c);
                     if (cost < lowestCost) {
                         lowestCost = cost;
--- a/core/src/main/java/org/citrontide/core/expertmap/RankCommitProtocol.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RankCommitProtocol.java
@@ -31,91 +31,98 @@
     /**
      * Handles an event.
      *
-     * @param s state of the rank
+     * @param state state of the rank
      * @param event the event to handle
      * @return the new state and the actions for the shell
      */
-    public static Transition handle(RankState s, RankEvent event) {
+    public static Transition handle(RankState state, RankEvent event) {
         return switch (event) {
-            case RankEvent.PrepareRequested p -> prepare(s, p.map());
-            case RankEvent.WeightsLoaded l -> persist(s.withPrepared(l.map()));
-            case RankEvent.ProposalReceived p -> proposalReceived(s, p.proposal());
-            case RankEvent.VoteReceived v -> voteReceived(s, v);
-            case RankEvent.StepsRequested r -> stepsRequested(s, r.steps());
+            case RankEvent.PrepareRequested p -> handlePrepareRequested(state, p.map());
+            case RankEvent.WeightsLoaded l -> persist(state.withPrepared(l.map()));
+            case RankEvent.ProposalReceived p -> handleProposalReceived(state, p.proposal());
+            case RankEvent.VoteReceived v -> handleVoteReceived(state, v);
+            case RankEvent.StepsRequested r -> handleStepsRequested(state, r.steps());
         };
     }
 
     /** Ignores requests from a controller that has lost its lease, even if the engine does not check fencing tokens. */
-    private static Transition prepare(RankState s, MapId map) {
-        if (map.compareTo(s.lastVoted()) <= 0 || s.prepared().contains(map)) {
-            return unchanged(s);
+    private static Transition handlePrepareRequested(RankState state, MapId map) {
+        if (map.compareTo(state.lastVoted()) <= 0 || state.prepared().contains(map)) {
+            return unchanged(state);
         }
-        return new Transition(s, List.of(new RankAction.LoadWeights(map)));
+        return new Transition(state, List.of(new RankAction.LoadWeights(map)));
     }
 
-    private static Transition proposalReceived(RankState s, MapProposal p) {
-        boolean isKnown = s.pendingVote().filter(o -> o.proposal().equals(p)).isPresent();
-        if (isKnown || p.map().equals(s.currentMap())) {
-            return new Transition(s, List.of(new RankAction.SendVote(p.map(), true)));
+    private static Transition handleProposalReceived(RankState state, MapProposal proposal) {
+        boolean isKnown = state.pendingVote()
+                .filter(pending -> pending.proposal().equals(proposal))
+                .isPresent();
+        if (isKnown || proposal.map().equals(state.currentMap())) {
+            return new Transition(state, List.of(new RankAction.SendVote(proposal.map(), true)));
         }
-        if (p.map().compareTo(s.lastVoted()) <= 0) {
-            return new Transition(s, List.of(new RankAction.SendVote(p.map(), false)));
+        if (proposal.map().compareTo(state.lastVoted()) <= 0) {
+            return new Transition(state, List.of(new RankAction.SendVote(proposal.map(), false)));
         }
-        if (s.pendingVote().isPresent()) {
+        if (state.pendingVote().isPresent()) {
             return new Transition(
-                    s, List.of(new RankAction.RequestVotes(s.pendingVote().get().proposal())));
+                    state,
+                    List.of(new RankAction.RequestVotes(
+                            state.pendingVote().get().proposal())));
         }
-        boolean accepted = isAcceptable(s, p);
+        boolean accepted = isAcceptable(state, proposal);
         Optional<RankState.PendingVote> pendingVote =
-                accepted ? Optional.of(new RankState.PendingVote(p, Set.of(s.rank()))) : Optional.empty();
-        RankState next = s.withVote(p.map(), pendingVote);
-        return new Transition(next, List.of(new RankAction.Persist(next), new RankAction.SendVote(p.map(), accepted)));
+                accepted ? Optional.of(new RankState.PendingVote(proposal, Set.of(state.rank()))) : Optional.empty();
+        RankState next = state.withVote(proposal.map(), pendingVote);
+        return new Transition(
+                next, List.of(new RankAction.Persist(next), new RankAction.SendVote(proposal.map(), accepted)));
     }
 
-    private static boolean isAcceptable(RankState s, MapProposal p) {
-        return p.base().equals(s.currentMap()) && s.prepared().contains(p.map()) && p.step() > s.permittedStep();
+    private static boolean isAcceptable(RankState state, MapProposal proposal) {
+        return proposal.base().equals(state.currentMap())
+                && state.prepared().contains(proposal.map())
+                && proposal.step() > state.permittedStep();
     }
 
-    private static Transition voteReceived(RankState s, RankEvent.VoteReceived v) {
+    private static Transition handleVoteReceived(RankState state, RankEvent.VoteReceived vote) {
         Optional<RankState.PendingVote> pendingVote =
-                s.pendingVote().filter(o -> o.proposal().map().equals(v.map()));
+                state.pendingVote().filter(pending -> pending.proposal().map().equals(vote.map()));
         if (pendingVote.isEmpty()) {
-            return unchanged(s);
+            return unchanged(state);
         }
-        if (!v.accepted()) {
-            return persist(s.withPendingVote(Optional.empty()));
+        if (!vote.accepted()) {
+            return persist(state.withPendingVote(Optional.empty()));
         }
         Set<Integer> accepted = new TreeSet<>(pendingVote.get().accepted());
-        accepted.add(v.rank());
-        MapProposal p = pendingVote.get().proposal();
-        if (accepted.size() < s.groupSize()) {
-            return unchanged(s.withPendingVote(Optional.of(new RankState.PendingVote(p, accepted))));
+        accepted.add(vote.rank());
+        MapProposal proposal = pendingVote.get().proposal();
+        if (accepted.size() < state.groupSize()) {
+            return unchanged(state.withPendingVote(Optional.of(new RankState.PendingVote(proposal, accepted))));
         }
-        List<RankState.MapSwitch> switches = new ArrayList<>(s.switches());
-        switches.add(new RankState.MapSwitch(p.step(), p.map()));
-        return persist(s.withSwitches(switches));
+        List<RankState.MapSwitch> switches = new ArrayList<>(state.switches());
+        switches.add(new RankState.MapSwitch(proposal.step(), proposal.map()));
+        return persist(state.withSwitches(switches));
     }
 
-    private static Transition stepsRequested(RankState s, int steps) {
-        long requestedStep = s.permittedStep() + steps;
-        if (s.pendingVote().isEmpty()) {
-            return persist(s.withPermittedStep(requestedStep));
+    private static Transition handleStepsRequested(RankState state, int steps) {
+        long requestedStep = state.permittedStep() + steps;
+        if (state.pendingVote().isEmpty()) {
+            return persist(state.withPermittedStep(requestedStep));
         }
-        MapProposal p = s.pendingVote().get().proposal();
-        long limit = p.step() - 1;
+        MapProposal proposal = state.pendingVote().get().proposal();
+        long limit = proposal.step() - 1;
         if (requestedStep <= limit) {
-            return persist(s.withPermittedStep(requestedStep));
+            return persist(state.withPermittedStep(requestedStep));
         }
-        RankState next = s.withPermittedStep(limit);
-        return new Transition(next, List.of(new RankAction.Persist(next), new RankAction.RequestVotes(p)));
+        RankState next = state.withPermittedStep(limit);
+        return new Transition(next, List.of(new RankAction.Persist(next), new RankAction.RequestVotes(proposal)));
     }
 
-    private static Transition unchanged(RankState s) {
-        return new Transition(s, List.of());
+    private static Transition unchanged(RankState state) {
+        return new Transition(state, List.of());
     }
 
-    private static Transition persist(RankState s) {
-        return new Transition(s, List.of(new RankAction.Persist(s)));
+    private static Transition persist(RankState state) {
+        return new Transition(state, List.of(new RankAction.Persist(state)));
     }
 
     /**
--- a/core/src/main/java/org/citrontide/core/expertmap/RankState.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RankState.java
@@ -103,7 +103,7 @@
      * @return this state without the votes of other ranks
      */
     public RankState afterRestart() {
-        return withPendingVote(pendingVote.map(o -> new PendingVote(o.proposal(), Set.of(rank))));
+        return withPendingVote(pendingVote.map(vote -> new PendingVote(vote.proposal(), Set.of(rank))));
     }
 
     RankState withPermittedStep(long newPermittedStep) {
--- a/core/src/main/java/org/citrontide/core/expertmap/RebalancePolicy.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RebalancePolicy.java
@@ -22,7 +22,7 @@
     private final DemandEstimator demand;
     private double[] speeds = new double[0];
     private long lastShiftNanos;
-    private boolean isDecisionRequested;
+    private boolean isReevaluationRequested;
     private RebalanceParameters parameters;
 
     RebalancePolicy(EngineProfile profile, long nowNanos) {
@@ -52,10 +52,10 @@
         speeds = newSpeeds.clone();
     }
 
-    /** Updates the speed of one rank; a large change requests a decision. */
+    /** Updates the speed of one rank; a large change requests a re-evaluation of the map. */
     void updateRankSpeed(int rank, double speed) {
         if (rank < speeds.length && speed != speeds[rank]) {
-            isDecisionRequested |= Math.abs(speed - speeds[rank]) > MIN_SPEED_CHANGE && demand.hasEstimate();
+            isReevaluationRequested |= Math.abs(speed - speeds[rank]) > MIN_SPEED_CHANGE && demand.hasEstimate();
             speeds = speeds.clone();
             speeds[rank] = speed;
         }
@@ -64,7 +64,7 @@
     /** Handles a new formation of the group: its counters restart at zero, but the demand estimate stays valid. */
     void resetCounters() {
         demand.resetCounters();
-        isDecisionRequested = demand.hasEstimate();
+        isReevaluationRequested = demand.hasEstimate();
     }
 
     /** Records the cumulative counts of a rank; returns false if their length does not fit the profile. */
@@ -76,21 +76,21 @@
         return true;
     }
 
-    /** Requests a decision at the next call of {@link #nextSearch}, even without new counts. */
-    void requestDecision() {
-        isDecisionRequested = true;
+    /** Makes the next call of {@link #nextSearch} evaluate the map even without new counts. */
+    void requestReevaluation() {
+        isReevaluationRequested = true;
     }
 
     /** Returns the search for a better map to run now, or empty if none is due. */
     Optional<MapAction.SearchMap> nextSearch(GroupMap current, long newVersion, long nowNanos) {
         boolean isFresh = demand.update(MIN_SELECTIONS);
-        if (!isFresh && !isDecisionRequested) {
+        if (!isFresh && !isReevaluationRequested) {
             return Optional.empty();
         }
         if (isFresh && demand.hasShifted()) {
             lastShiftNanos = nowNanos;
         }
-        isDecisionRequested = false;
+        isReevaluationRequested = false;
         List<RankLoads> loads = loads();
         if (current.skew(loads) < parameters.minSkew()) {
             return Optional.empty();
--- a/core/src/main/java/org/citrontide/core/expertmap/ShareBalancer.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/ShareBalancer.java
@@ -33,9 +33,9 @@
         }
         for (int r = 0; r < experts.length; r++) {
             shares[r] = map.shares()[r].clone();
-            for (int p = 0; p < experts[r].length; p++) {
-                slotsByExpert.get(experts[r][p]).add(new Slot(r, p));
-                rankWork[r] += shares[r][p] * loads.expertLoads()[experts[r][p]];
+            for (int s = 0; s < experts[r].length; s++) {
+                slotsByExpert.get(experts[r][s]).add(new Slot(r, s));
+                rankWork[r] += shares[r][s] * loads.expertLoads()[experts[r][s]];
             }
         }
     }
@@ -53,16 +53,16 @@
 
     /** Raises the earliest finishing ranks to the common level at which the expert's whole load is assigned. */
     private void distribute(double load, List<Slot> slots) {
-        for (Slot p : slots) {
-            rankWork[p.rank()] -= load * shares[p.rank()][p.index()];
+        for (Slot slot : slots) {
+            rankWork[slot.rank()] -= load * shares[slot.rank()][slot.index()];
         }
         List<Slot> byFinishTime = new ArrayList<>(slots);
-        byFinishTime.sort(Comparator.comparingDouble(p -> rankWork[p.rank()] / speed(p)));
+        byFinishTime.sort(Comparator.comparingDouble(slot -> rankWork[slot.rank()] / speed(slot)));
         double level = level(load, byFinishTime);
-        for (Slot p : slots) {
-            double assigned = Math.max(0, level * speed(p) - rankWork[p.rank()]);
-            rankWork[p.rank()] += assigned;
-            shares[p.rank()][p.index()] = assigned / load;
+        for (Slot slot : slots) {
+            double assigned = Math.max(0, level * speed(slot) - rankWork[slot.rank()]);
+            rankWork[slot.rank()] += assigned;
+            shares[slot.rank()][slot.index()] = assigned / load;
         }
     }
 
@@ -70,18 +70,18 @@
         double speedSum = 0;
         double workSum = load;
         double level = 0;
-        for (Slot p : byFinishTime) {
-            if (speedSum > 0 && level <= rankWork[p.rank()] / speed(p)) {
+        for (Slot slot : byFinishTime) {
+            if (speedSum > 0 && level <= rankWork[slot.rank()] / speed(slot)) {
                 break;
             }
-            speedSum += speed(p);
-            workSum += rankWork[p.rank()];
+            speedSum += speed(slot);
+            workSum += rankWork[slot.rank()];
             level = workSum / speedSum;
         }
         return level;
     }
 
-    private double speed(Slot p) {
-        return loads.rankSpeeds()[p.rank()];
+    private double speed(Slot slot) {
+        return loads.rankSpeeds()[slot.rank()];
     }
 }
--- a/core/src/main/java/org/citrontide/core/gate/SidecarGate.java
+++ b/core/src/main/java/org/citrontide/core/gate/SidecarGate.java
@@ -73,9 +73,9 @@
     public List<GateAction> handle(GateEvent event, long nowNanos, long epochMillis) {
         EventHandler handler = new EventHandler(nowNanos, epochMillis);
         switch (event) {
-            case GateEvent.AttemptArrived a -> handler.attemptArrived(a.request());
-            case GateEvent.AttemptCancelled c -> handler.attemptCancelled(c.id());
-            case GateEvent.CallEnded e -> handler.callEnded(e.id(), e.outcome());
+            case GateEvent.AttemptArrived a -> handler.handleAttemptArrived(a.request());
+            case GateEvent.AttemptCancelled c -> handler.handleAttemptCancelled(c.id());
+            case GateEvent.CallEnded e -> handler.handleCallEnded(e.id(), e.outcome());
             case GateEvent.ClaimReplyReceived c -> handler.handleClaimEvent(c.event());
             case GateEvent.ConfigurationChanged c -> configure(c.file());
             case GateEvent.DrainRequested d -> handler.drain();
@@ -121,7 +121,7 @@
 
     private int liveSlotsInUse() {
         return (int) slots.values().stream()
-                .filter(s -> s.request.waiting().urgency() == Urgency.LIVE)
+                .filter(s -> s.request.queued().urgency() == Urgency.LIVE)
                 .count();
     }
 
@@ -169,30 +169,30 @@
             this.epochMillis = epochMillis;
         }
 
-        private void attemptArrived(GateRequest r) {
+        private void handleAttemptArrived(GateRequest request) {
             if (draining) {
-                refuse(r.id(), Reason.DRAINING, Duration.ZERO);
+                refuse(request.id(), Reason.DRAINING, Duration.ZERO);
                 return;
             }
             if (queue.isEmpty()) {
-                refuse(r.id(), Reason.NOT_READY, MIN_RETRY_AFTER);
+                refuse(request.id(), Reason.NOT_READY, MIN_RETRY_AFTER);
                 return;
             }
-            if (nowNanos >= r.waiting().deadlineNanos() || epochMillis >= r.latestEpochMillis()) {
-                refuse(r.id(), Reason.DEADLINE, Duration.ZERO);
+            if (nowNanos >= request.queued().deadlineNanos() || epochMillis >= request.latestEpochMillis()) {
+                refuse(request.id(), Reason.DEADLINE, Duration.ZERO);
                 return;
             }
-            waiting.put(r.id(), r);
-            if (r.waiting().urgency() == Urgency.LIVE) {
+            waiting.put(request.id(), request);
+            if (request.queued().urgency() == Urgency.LIVE) {
                 liveDemand.recordArrival(liveAttempts() + 1, nowNanos);
             }
-            queue.get().offer(r.waiting()).ifPresent(evicted -> {
+            queue.get().offer(request.queued()).ifPresent(evicted -> {
                 waiting.remove(evicted.id());
                 refuse(evicted.id(), Reason.OVERLOADED, retryAfter());
             });
         }
 
-        private void attemptCancelled(long id) {
+        private void handleAttemptCancelled(long id) {
             if (waiting.remove(id) != null) {
                 queue.orElseThrow().remove(id);
                 refuse(id, Reason.CANCELLED, Duration.ZERO);
@@ -212,7 +212,7 @@
             }
         }
 
-        private void callEnded(long id, CallOutcome outcome) {
+        private void handleCallEnded(long id, CallOutcome outcome) {
             Slot slot = slots.remove(id);
             if (slot == null) {
                 return;
@@ -254,7 +254,7 @@
                 switch (a) {
                     case ClaimAction.ReadBucket r -> actions.add(new GateAction.CallClaimStore(r));
                     case ClaimAction.WriteBucket w -> actions.add(new GateAction.CallClaimStore(w));
-                    case ClaimAction.GrantClaim g -> claimGranted(g.attempt());
+                    case ClaimAction.GrantClaim g -> handleClaimGranted(g.attempt());
                     case ClaimAction.DenyClaim d -> {
                         slots.remove(d.attempt());
                         actions.add(new GateAction.EndAttempt(d.attempt(), d.verdict(), 0));
@@ -267,7 +267,7 @@
             }
         }
 
-        private void claimGranted(long id) {
+        private void handleClaimGranted(long id) {
             Slot slot = slots.get(id);
             Optional<ClaimLedger.LatestStart> latest = ledger.latestStart(id);
             if (slot == null || latest.isEmpty()) {
@@ -278,23 +278,23 @@
 
         private void startCall(Slot slot, long latestNanos, long latestEpochMillis) {
             slot.started = true;
-            long latest = Math.min(latestNanos, slot.request.waiting().deadlineNanos());
+            long latest = Math.min(latestNanos, slot.request.queued().deadlineNanos());
             long latestEpoch = Math.min(latestEpochMillis, slot.request.latestEpochMillis());
             actions.add(new GateAction.StartCall(slot.request.id(), latest, latestEpoch));
         }
 
         private void drain() {
             draining = true;
-            queue.ifPresent(q -> q.drain().forEach(w -> {
-                waiting.remove(w.id());
-                refuse(w.id(), Reason.DRAINING, Duration.ZERO);
+            queue.ifPresent(q -> q.drain().forEach(queued -> {
+                waiting.remove(queued.id());
+                refuse(queued.id(), Reason.DRAINING, Duration.ZERO);
             }));
         }
 
         private void expireAttempts() {
-            queue.ifPresent(q -> q.expire(nowNanos).forEach(w -> {
-                waiting.remove(w.id());
-                refuse(w.id(), Reason.DEADLINE, Duration.ZERO);
+            queue.ifPresent(q -> q.expire(nowNanos).forEach(queued -> {
+                waiting.remove(queued.id());
+                refuse(queued.id(), Reason.DEADLINE, Duration.ZERO);
             }));
             handleClaimEvent(new ClaimEvent.Tick());
         }
@@ -316,23 +316,27 @@
         private Optional<QueuedRequest> takeNext() {
             int liveInUse = liveSlotsInUse();
             int lowerSlotsInUse = slots.size() - liveInUse;
-            SidecarQueue q = queue.orElseThrow();
+            SidecarQueue sidecarQueue = queue.orElseThrow();
             if (lowerSlotsInUse >= maxSlots() - file.orElseThrow().limits().liveSlots()) {
-                return q.takeLive();
+                return sidecarQueue.takeLive();
             }
-            return lowerSlotsInUse < maxSlots() - liveDemand.reservedSlots() ? q.take() : q.takeLiveOrGuaranteed();
+            return lowerSlotsInUse < maxSlots() - liveDemand.reservedSlots()
+                    ? sidecarQueue.take()
+                    : sidecarQueue.takeLiveOrGuaranteed();
         }
 
-        private void occupySlot(GateRequest r) {
-            if (nowNanos >= r.waiting().deadlineNanos()) {
-                refuse(r.id(), Reason.DEADLINE, Duration.ZERO);
+        private void occupySlot(GateRequest request) {
+            if (nowNanos >= request.queued().deadlineNanos()) {
+                refuse(request.id(), Reason.DEADLINE, Duration.ZERO);
                 return;
             }
-            Slot slot = new Slot(r, nowNanos);
-            slots.put(r.id(), slot);
-            if (r.needsClaim()) {
+            Slot slot = new Slot(request, nowNanos);
+            slots.put(request.id(), slot);
+            if (request.needsClaim()) {
                 handleClaimEvent(new ClaimEvent.ClaimRequested(
-                        r.id(), r.key().orElseThrow(), r.waiting().deadlineNanos()));
+                        request.id(),
+                        request.key().orElseThrow(),
+                        request.queued().deadlineNanos()));
                 return;
             }
             startCall(slot, Long.MAX_VALUE, Long.MAX_VALUE);
--- a/core/src/main/java/org/citrontide/core/gateway/AdmissionQueue.java
+++ b/core/src/main/java/org/citrontide/core/gateway/AdmissionQueue.java
@@ -12,7 +12,7 @@
  * after the recovery while its slots are reserved for requests that can still be on time.
  *
  * <p>Handles outages of a group of one or several seconds under a constant arrival rate, and the backlog of late
- * requests after the recovery. A request waits no longer than its caller is certain to; then it is refused, so that the
+ * requests after the recovery. A request waits no longer than its caller is certain to wait; then it is refused, so that the
  * caller can retry. While the group is down, only one request per interval probes it, because a rejected probe counts
  * as a retry when it is sent again. After the recovery the number of late requests whose response has not started is
  * limited, so that slots remain free for other requests.
@@ -26,8 +26,8 @@
     private static final double MAX_WAIT_FRACTION = 0.35;
     // Each gateway probes on its own: it detects a recovery within this interval plus the time to a first event.
     private static final Duration PROBE_INTERVAL = Duration.ofMillis(300);
-    // Late requests of one gateway before their first event; at the rate of first events they use about half of the
-    // slots.
+    // Maximum number of late requests of one gateway before their first event; at the rate of first events
+    // they use about half of the slots.
     private static final int MAX_LATE_PENDING = 2;
     // Network partitions and restarts end within this time; in a longer outage waiting is not known to help.
     private static final Duration LONG_OUTAGE = Duration.ofSeconds(8);
@@ -37,9 +37,9 @@
     private static final int MAX_WAITING = 256;
 
     private final TreeSet<OpenGatewayRequest> waiting =
-            new TreeSet<>(Comparator.<OpenGatewayRequest>comparingInt(o -> o.request.rank())
-                    .thenComparingLong(o -> -o.request.arrivedNanos())
-                    .thenComparingLong(o -> o.request.id()));
+            new TreeSet<>(Comparator.<OpenGatewayRequest>comparingInt(open -> open.request.rank())
+                    .thenComparingLong(open -> -open.request.arrivedNanos())
+                    .thenComparingLong(open -> open.request.id()));
     private boolean isDown;
     private long downSinceNanos;
     private long lastRejectionNanos;
@@ -77,42 +77,42 @@
     }
 
     /** Returns whether a request may be sent immediately; while the group is down, this uses up the next probe. */
-    boolean tryAdmit(GatewayRequest r, long nowNanos) {
-        return isDown ? tryProbe(nowNanos) : !isHeldBack(r, nowNanos) || latePending < MAX_LATE_PENDING;
+    boolean tryAdmit(GatewayRequest request, long nowNanos) {
+        return isDown ? tryProbe(nowNanos) : !isHeldBack(request, nowNanos) || latePending < MAX_LATE_PENDING;
     }
 
     /** Records that an attempt of a request was sent. */
-    void recordSent(OpenGatewayRequest.Attempt a, GatewayRequest r, long nowNanos) {
-        a.isLatePending = isHeldBack(r, nowNanos);
-        latePending += a.isLatePending ? 1 : 0;
+    void recordSent(OpenGatewayRequest.Attempt attempt, GatewayRequest request, long nowNanos) {
+        attempt.isLatePending = isHeldBack(request, nowNanos);
+        latePending += attempt.isLatePending ? 1 : 0;
     }
 
     /** Records that the response to an attempt has started, or that it will not start. */
-    void recordSettled(OpenGatewayRequest.Attempt a) {
-        latePending -= a.isLatePending ? 1 : 0;
-        a.isLatePending = false;
+    void recordSettled(OpenGatewayRequest.Attempt attempt) {
+        latePending -= attempt.isLatePending ? 1 : 0;
+        attempt.isLatePending = false;
     }
 
     /** Queues a request; returns false if its caller would stop waiting first, or if the queue is full. */
-    boolean tryEnqueue(OpenGatewayRequest o, long nowNanos) {
+    boolean tryEnqueue(OpenGatewayRequest open, long nowNanos) {
         boolean isLongOutage = isDown && nowNanos - downSinceNanos > LONG_OUTAGE.toNanos();
-        if (o.isResponseStarted
+        if (open.isResponseStarted
                 || isLongOutage
-                || nowNanos >= waitEndNanos(o.request)
+                || nowNanos >= waitEndNanos(open.request)
                 || waiting.size() >= MAX_WAITING) {
             return false;
         }
-        return waiting.add(o);
+        return waiting.add(open);
     }
 
-    void remove(OpenGatewayRequest o) {
-        waiting.remove(o);
+    void remove(OpenGatewayRequest open) {
+        waiting.remove(open);
     }
 
     /** Removes and returns the requests that have waited for their maximum time. */
     List<OpenGatewayRequest> pollOverdue(long nowNanos) {
         List<OpenGatewayRequest> overdue = waiting.stream()
-                .filter(o -> nowNanos >= waitEndNanos(o.request))
+                .filter(open -> nowNanos >= waitEndNanos(open.request))
                 .toList();
         overdue.forEach(waiting::remove);
         return overdue;
@@ -125,10 +125,10 @@
         }
         List<OpenGatewayRequest> sendable = new ArrayList<>();
         int room = MAX_LATE_PENDING - latePending;
-        for (OpenGatewayRequest o : waiting) {
-            boolean isHeldBack = isHeldBack(o.request, nowNanos);
+        for (OpenGatewayRequest open : waiting) {
+            boolean isHeldBack = isHeldBack(open.request, nowNanos);
             if (!isHeldBack || room > 0) {
-                sendable.add(o);
+                sendable.add(open);
                 room -= isHeldBack ? 1 : 0;
             }
         }
@@ -138,7 +138,7 @@
 
     private List<OpenGatewayRequest> pollProbe(long nowNanos) {
         Optional<OpenGatewayRequest> probe =
-                waiting.stream().filter(o -> o.attemptCount == 0).findFirst();
+                waiting.stream().filter(open -> open.attemptCount == 0).findFirst();
         if (probe.isEmpty() || !tryProbe(nowNanos)) {
             return List.of();
         }
@@ -155,13 +155,13 @@
     }
 
     /** Returns whether a request is late and part of the backlog of an outage; at other times late requests are few. */
-    private boolean isHeldBack(GatewayRequest r, long nowNanos) {
+    private boolean isHeldBack(GatewayRequest request, long nowNanos) {
         boolean hasBacklog = hadOutage && nowNanos - recoveredNanos < BACKLOG_PERIOD.toNanos();
-        return hasBacklog && r.route().streaming() && r.isLate(nowNanos);
+        return hasBacklog && request.route().streaming() && request.isLate(nowNanos);
     }
 
-    private static long waitEndNanos(GatewayRequest r) {
-        long maxWaitNanos = (long) (MAX_WAIT_FRACTION * (r.deadlineNanos() - r.arrivedNanos()));
-        return r.arrivedNanos() + Math.min(MAX_WAIT.toNanos(), maxWaitNanos);
+    private static long waitEndNanos(GatewayRequest request) {
+        long maxWaitNanos = (long) (MAX_WAIT_FRACTION * (request.deadlineNanos() - request.arrivedNanos()));
+        return request.arrivedNanos() + Math.min(MAX_WAIT.toNanos(), maxWaitNanos);
     }
 }
--- a/core/src/main/java/org/citrontide/core/gateway/GatewayDispatcher.java
+++ b/core/src/main/java/org/citrontide/core/gateway/GatewayDispatcher.java
@@ -50,8 +50,8 @@
     private final UpstreamRegistry registry = new UpstreamRegistry();
     private final UpstreamSelector selector;
     private final RetryAfterPolicy retryAfterPolicy;
-    private final Supplier<GatewayRetryBudget> retryBudgets;
-    private final Map<String, GatewayRetryBudget> budgetByService = new HashMap<>();
+    private final Supplier<GatewayRetryBudget> retryBudgetFactory;
+    private final Map<String, GatewayRetryBudget> retryBudgetByService = new HashMap<>();
     private final Map<String, AdmissionQueue> queues = new HashMap<>();
     private final Map<String, SlownessDetector> detectorByService = new HashMap<>();
     private final Map<Long, OpenGatewayRequest> openById = new HashMap<>();
@@ -64,13 +64,13 @@
      * Creates a dispatcher without upstreams.
      *
      * @param zone the gateway's availability zone
-     * @param retryBudgets factory of the retry budget of each service
+     * @param retryBudgetFactory factory of the retry budget of each service
      * @param random source of randomness for upstream selection and for the jitter of retry delays
      */
-    public GatewayDispatcher(String zone, Supplier<GatewayRetryBudget> retryBudgets, RandomGenerator random) {
+    public GatewayDispatcher(String zone, Supplier<GatewayRetryBudget> retryBudgetFactory, RandomGenerator random) {
         this.selector = new UpstreamSelector(zone, random);
         this.retryAfterPolicy = new RetryAfterPolicy(random);
-        this.retryBudgets = retryBudgets;
+        this.retryBudgetFactory = retryBudgetFactory;
     }
 
     /**
@@ -81,19 +81,19 @@
      * @return actions for the shell to perform, in order
      */
     public List<GatewayAction> handle(GatewayEvent event, long nowNanos) {
-        Step step = new Step(nowNanos);
+        EventHandler handler = new EventHandler(nowNanos);
         switch (event) {
-            case GatewayEvent.RequestArrived a -> step.requestArrived(a.request());
+            case GatewayEvent.RequestArrived a -> handler.handleRequestArrived(a.request());
             case GatewayEvent.CallerDisconnected d ->
-                Optional.ofNullable(openById.get(d.request())).ifPresent(step::close);
-            case GatewayEvent.ResponseProgress p -> step.responseProgress(p);
-            case GatewayEvent.AttemptEnded e -> step.attemptEnded(e);
+                Optional.ofNullable(openById.get(d.request())).ifPresent(handler::close);
+            case GatewayEvent.ResponseProgress p -> handler.handleResponseProgress(p);
+            case GatewayEvent.AttemptEnded e -> handler.handleAttemptEnded(e);
             case GatewayEvent.UpstreamsUpdated u -> registry.replaceAll(u.upstreams(), nowNanos);
             case GatewayEvent.SpeedReported s ->
-                registry.find(s.upstream()).ifPresent(u -> step.speedReported(u, s.slowness()));
-            case GatewayEvent.Tick t -> step.tick();
+                registry.find(s.upstream()).ifPresent(u -> handler.handleSpeedReported(u, s.slowness()));
+            case GatewayEvent.Tick t -> handler.tick();
         }
-        return step.actions;
+        return handler.actions;
     }
 
     /**
@@ -116,122 +116,127 @@
     }
 
     private GatewayRetryBudget retryBudget(String service) {
-        return budgetByService.computeIfAbsent(service, s -> retryBudgets.get());
+        return retryBudgetByService.computeIfAbsent(service, s -> retryBudgetFactory.get());
     }
 
     private AdmissionQueue queue(String service) {
         return queues.computeIfAbsent(service, s -> new AdmissionQueue());
     }
 
-    private AdmissionQueue queue(OpenGatewayRequest o) {
-        return queue(o.request.service());
+    private AdmissionQueue queue(OpenGatewayRequest open) {
+        return queue(open.request.service());
     }
 
     /** Handles one event and collects the resulting actions. */
-    private final class Step {
+    private final class EventHandler {
         private final long nowNanos;
         private final List<GatewayAction> actions = new ArrayList<>();
 
-        private Step(long nowNanos) {
+        private EventHandler(long nowNanos) {
             this.nowNanos = nowNanos;
         }
 
-        private void requestArrived(GatewayRequest r) {
-            retryBudget(r.service()).recordRequest(nowNanos);
-            OpenGatewayRequest o = new OpenGatewayRequest(r);
-            openById.put(r.id(), o);
-            byDeadline.add(r);
-            if (queue(o).tryAdmit(r, nowNanos)) {
-                send(o, Reason.NO_UPSTREAM);
+        private void handleRequestArrived(GatewayRequest request) {
+            retryBudget(request.service()).recordRequest(nowNanos);
+            OpenGatewayRequest open = new OpenGatewayRequest(request);
+            openById.put(request.id(), open);
+            byDeadline.add(request);
+            if (queue(open).tryAdmit(request, nowNanos)) {
+                send(open, Reason.NO_UPSTREAM);
             } else {
-                waitOrFail(o);
+                waitOrFail(open);
             }
         }
 
         /** Queues a request, or refuses it if it can't be sent before its caller stops waiting. */
-        private void waitOrFail(OpenGatewayRequest o) {
-            if (!queue(o).tryEnqueue(o, nowNanos)) {
-                fail(o, Reason.NO_UPSTREAM);
+        private void waitOrFail(OpenGatewayRequest open) {
+            if (!queue(open).tryEnqueue(open, nowNanos)) {
+                fail(open, Reason.NO_UPSTREAM);
             }
         }
 
         private void sendWaiting(AdmissionQueue queue) {
-            for (OpenGatewayRequest o : queue.pollSendable(nowNanos)) {
-                if (o.attemptCount == 0 || tryRetry(o)) {
-                    send(o, Reason.NO_UPSTREAM);
+            for (OpenGatewayRequest open : queue.pollSendable(nowNanos)) {
+                if (open.attemptCount == 0 || tryRetry(open)) {
+                    send(open, Reason.NO_UPSTREAM);
                 } else {
-                    fail(o, Reason.NO_UPSTREAM);
+                    fail(open, Reason.NO_UPSTREAM);
                 }
             }
         }
 
         /** Sends the next attempt, or fails the request with the given reason if no upstream accepts it. */
-        private void send(OpenGatewayRequest o, Reason noUpstreamReason) {
-            GatewayRequest r = o.request;
-            Duration remaining = Duration.ofNanos(r.deadlineNanos() - nowNanos);
+        private void send(OpenGatewayRequest open, Reason noUpstreamReason) {
+            GatewayRequest request = open.request;
+            Duration remaining = Duration.ofNanos(request.deadlineNanos() - nowNanos);
             if (remaining.compareTo(MIN_REMAINING) < 0) {
-                fail(o, Reason.DEADLINE);
+                fail(open, Reason.DEADLINE);
                 return;
             }
-            Optional<UpstreamState> chosen = selector.select(registry.ofService(r.service()), o.triedIds, nowNanos);
+            Optional<UpstreamState> chosen =
+                    selector.select(registry.ofService(request.service()), open.triedIds, nowNanos);
             if (chosen.isEmpty()) {
-                fail(o, noUpstreamReason);
+                fail(open, noUpstreamReason);
                 return;
             }
-            UpstreamState u = chosen.get();
+            UpstreamState upstream = chosen.get();
             long number = nextAttemptNumber++;
-            o.attempt = Optional.of(new OpenGatewayRequest.Attempt(number, u, nowNanos));
-            o.triedIds.add(u.entry().id());
-            o.attemptCount++;
-            byAttempt.put(number, o);
-            u.attemptSent();
-            queue(o).recordSent(o.attempt.get(), r, nowNanos);
-            actions.add(new GatewayAction.Send(r, number, u.entry(), remaining, r.admissionRank(nowNanos)));
+            open.attempt = Optional.of(new OpenGatewayRequest.Attempt(number, upstream, nowNanos));
+            open.triedIds.add(upstream.entry().id());
+            open.attemptCount++;
+            byAttempt.put(number, open);
+            upstream.recordAttemptSent();
+            queue(open).recordSent(open.attempt.get(), request, nowNanos);
+            actions.add(new GatewayAction.Send(
+                    request, number, upstream.entry(), remaining, request.admissionRank(nowNanos)));
         }
 
-        private void responseProgress(GatewayEvent.ResponseProgress p) {
-            OpenGatewayRequest o = byAttempt.get(p.attempt());
-            if (o == null) {
+        private void handleResponseProgress(GatewayEvent.ResponseProgress progress) {
+            OpenGatewayRequest open = byAttempt.get(progress.attempt());
+            if (open == null) {
                 return;
             }
-            OpenGatewayRequest.Attempt a = o.attempt.orElseThrow();
-            if (o.isResponseStarted) {
-                checkGap(o.request, nowNanos - a.progressNanos);
+            OpenGatewayRequest.Attempt attempt = open.attempt.orElseThrow();
+            if (open.isResponseStarted) {
+                checkGap(open.request, nowNanos - attempt.progressNanos);
             }
-            o.isResponseStarted |= p.isResponseStarted();
-            a.progressNanos = nowNanos;
-            a.upstream.recordProgress(nowNanos);
-            recordResponse(a);
-            if (o.isResponseStarted) {
-                queue(o).recordSettled(a);
+            open.isResponseStarted |= progress.isResponseStarted();
+            attempt.progressNanos = nowNanos;
+            attempt.upstream.recordProgress(nowNanos);
+            recordResponse(attempt);
+            if (open.isResponseStarted) {
+                queue(open).recordSettled(attempt);
             }
-            sendWaiting(queue(o));
+            sendWaiting(queue(open));
         }
 
         /** Queries the speeds of all upstreams of a service if the gaps within its responses are too long. */
-        private void checkGap(GatewayRequest r, long gapNanos) {
-            SlownessDetector detector = detectorByService.computeIfAbsent(r.service(), s -> new SlownessDetector());
+        private void checkGap(GatewayRequest request, long gapNanos) {
+            SlownessDetector detector =
+                    detectorByService.computeIfAbsent(request.service(), s -> new SlownessDetector());
             detector.recordGap(gapNanos);
-            List<UpstreamState> all = registry.ofService(r.service());
+            List<UpstreamState> all = registry.ofService(request.service());
             boolean hasSlowUpstream = all.stream().anyMatch(UpstreamState::isSlow);
-            if (r.route().targetGap().isPositive()
-                    && detector.tryStartQuery(r.route().targetGap(), all.size(), hasSlowUpstream, nowNanos)) {
+            if (request.route().targetGap().isPositive()
+                    && detector.tryStartQuery(request.route().targetGap(), all.size(), hasSlowUpstream, nowNanos)) {
                 actions.add(new GatewayAction.QuerySpeeds(
                         all.stream().map(UpstreamState::entry).toList()));
             }
         }
 
         /** Records the reported speed of an upstream and resumes its streams elsewhere if it became slow. */
-        private void speedReported(UpstreamState u, double slowness) {
-            boolean wasSlow = u.isSlow();
-            u.recordReportedSlowness(slowness);
-            if (wasSlow || !u.isSlow() || !canOthersTakeOver(u.entry().service())) {
+        private void handleSpeedReported(UpstreamState upstream, double slowness) {
+            boolean wasSlow = upstream.isSlow();
+            upstream.recordReportedSlowness(slowness);
+            if (wasSlow
+                    || !upstream.isSlow()
+                    || !canOthersTakeOver(upstream.entry().service())) {
                 return;
             }
-            for (OpenGatewayRequest o : List.copyOf(openById.values())) {
-                boolean isAffected = o.attempt.isPresent() && o.attempt.get().upstream == u;
-                if (isAffected && o.request.route().retrySafety() == Route.RetrySafety.RESUMABLE && canRetry(o)) {
-                    retryElsewhere(o);
+            for (OpenGatewayRequest open : List.copyOf(openById.values())) {
+                boolean isAffected = open.attempt.isPresent() && open.attempt.get().upstream == upstream;
+                if (isAffected && open.request.route().retrySafety() == Route.RetrySafety.RESUMABLE && canRetry(open)) {
+                    retryElsewhere(open);
                 }
             }
         }
@@ -242,23 +247,23 @@
             return slow <= Math.max(1, MAX_SLOW_FRACTION * all.size());
         }
 
-        private void attemptEnded(GatewayEvent.AttemptEnded e) {
-            OpenGatewayRequest o = byAttempt.remove(e.attempt());
-            if (o == null) {
+        private void handleAttemptEnded(GatewayEvent.AttemptEnded ended) {
+            OpenGatewayRequest open = byAttempt.remove(ended.attempt());
+            if (open == null) {
                 return;
             }
-            OpenGatewayRequest.Attempt a = o.attempt.orElseThrow();
-            o.attempt = Optional.empty();
-            a.upstream.attemptEnded();
-            queue(o).recordSettled(a);
-            recordOutcome(a, e.outcome());
-            resolve(o, a, e.outcome());
-            sendWaiting(queue(o));
+            OpenGatewayRequest.Attempt attempt = open.attempt.orElseThrow();
+            open.attempt = Optional.empty();
+            attempt.upstream.recordAttemptEnded();
+            queue(open).recordSettled(attempt);
+            recordOutcome(attempt, ended.outcome());
+            resolve(open, attempt, ended.outcome());
+            sendWaiting(queue(open));
         }
 
-        private void recordResponse(OpenGatewayRequest.Attempt a) {
-            String service = a.upstream.entry().service();
-            if (queue(service).recordResponse(a.sentNanos, nowNanos)) {
+        private void recordResponse(OpenGatewayRequest.Attempt attempt) {
+            String service = attempt.upstream.entry().service();
+            if (queue(service).recordResponse(attempt.sentNanos, nowNanos)) {
                 reportGroupState(service);
             }
         }
@@ -268,72 +273,72 @@
             actions.add(new GatewayAction.GroupStateChanged(service, queue.isDown(), queue.size()));
         }
 
-        private void recordOutcome(OpenGatewayRequest.Attempt a, AttemptOutcome outcome) {
+        private void recordOutcome(OpenGatewayRequest.Attempt attempt, AttemptOutcome outcome) {
             switch (outcome) {
                 case AttemptOutcome.Completed c -> {
-                    a.upstream.recordSuccess(millisSince(a.sentNanos), nowNanos);
-                    recordResponse(a);
+                    attempt.upstream.recordSuccess(millisSince(attempt.sentNanos), nowNanos);
+                    recordResponse(attempt);
                 }
-                case AttemptOutcome.Failed f -> a.upstream.recordFailure(nowNanos);
-                case AttemptOutcome.Broken b -> a.upstream.recordFailure(nowNanos);
-                case AttemptOutcome.Unreached u -> a.upstream.recordUnreachable(nowNanos);
-                case AttemptOutcome.Rejected r -> pause(a.upstream, r.cause());
+                case AttemptOutcome.Failed f -> attempt.upstream.recordFailure(nowNanos);
+                case AttemptOutcome.Broken b -> attempt.upstream.recordFailure(nowNanos);
+                case AttemptOutcome.Unreached u -> attempt.upstream.recordUnreachable(nowNanos);
+                case AttemptOutcome.Rejected r -> pause(attempt.upstream, r.cause());
             }
         }
 
-        private void pause(UpstreamState u, AttemptOutcome.Rejected.Cause cause) {
+        private void pause(UpstreamState upstream, AttemptOutcome.Rejected.Cause cause) {
             Duration duration = switch (cause) {
                 case FULL -> QUEUE_FULL_PAUSE;
                 case MISDIRECTED -> MISDIRECTED_PAUSE;
                 case GROUP_BROKEN, UNACCEPTABLE -> Duration.ZERO;
             };
-            u.pause(duration.toNanos(), nowNanos);
+            upstream.pause(duration.toNanos(), nowNanos);
         }
 
-        private void resolve(OpenGatewayRequest o, OpenGatewayRequest.Attempt a, AttemptOutcome outcome) {
+        private void resolve(OpenGatewayRequest open, OpenGatewayRequest.Attempt attempt, AttemptOutcome outcome) {
             switch (outcome) {
-                case AttemptOutcome.Completed c -> deliver(o, a);
+                case AttemptOutcome.Completed c -> deliver(open, attempt);
                 case AttemptOutcome.Failed f -> {
-                    o.mayHaveRunReason = Optional.of(Reason.ANSWER_BROKEN);
-                    if (o.request.route().isRetryable() && tryRetry(o)) {
-                        send(o, Reason.ANSWER_BROKEN);
-                    } else if (o.isResponseStarted) {
-                        fail(o, Reason.ANSWER_BROKEN);
+                    open.mayHaveRunReason = Optional.of(Reason.ANSWER_BROKEN);
+                    if (open.request.route().isRetryable() && tryRetry(open)) {
+                        send(open, Reason.ANSWER_BROKEN);
+                    } else if (open.isResponseStarted) {
+                        fail(open, Reason.ANSWER_BROKEN);
                     } else {
-                        deliver(o, a);
+                        deliver(open, attempt);
                     }
                 }
                 case AttemptOutcome.Unreached u -> {
-                    o.attemptCount--;
-                    send(o, Reason.UPSTREAM_UNREACHABLE);
+                    open.attemptCount--;
+                    send(open, Reason.UPSTREAM_UNREACHABLE);
                 }
                 case AttemptOutcome.Rejected r
                 when r.cause() == AttemptOutcome.Rejected.Cause.GROUP_BROKEN -> {
-                    handleGroupBroken(o, a);
+                    handleGroupBroken(open, attempt);
                 }
-                case AttemptOutcome.Rejected r -> retryOrFail(o, Reason.OVERLOADED);
+                case AttemptOutcome.Rejected r -> retryOrFail(open, Reason.OVERLOADED);
                 case AttemptOutcome.Broken b -> {
-                    o.mayHaveRunReason = Optional.of(b.reason());
-                    if (o.request.route().isRetryable() && !isStartedAndGroupDown(o)) {
-                        retryOrFail(o, b.reason());
+                    open.mayHaveRunReason = Optional.of(b.reason());
+                    if (open.request.route().isRetryable() && !isStartedAndGroupDown(open)) {
+                        retryOrFail(open, b.reason());
                     } else {
-                        fail(o, b.reason());
+                        fail(open, b.reason());
                     }
                 }
             }
         }
 
         /** Queues a request until its group recovers, or retries it if another group of the service responds. */
-        private void handleGroupBroken(OpenGatewayRequest o, OpenGatewayRequest.Attempt a) {
-            if (hasOtherActiveUpstream(o.request.service(), a.upstream)) {
-                a.upstream.pause(OTHER_GROUP_PAUSE.toNanos(), nowNanos);
-                retryOrFail(o, Reason.NO_UPSTREAM);
+        private void handleGroupBroken(OpenGatewayRequest open, OpenGatewayRequest.Attempt attempt) {
+            if (hasOtherActiveUpstream(open.request.service(), attempt.upstream)) {
+                attempt.upstream.pause(OTHER_GROUP_PAUSE.toNanos(), nowNanos);
+                retryOrFail(open, Reason.NO_UPSTREAM);
                 return;
             }
-            if (queue(o).recordGroupDown(nowNanos)) {
-                reportGroupState(o.request.service());
+            if (queue(open).recordGroupDown(nowNanos)) {
+                reportGroupState(open.request.service());
             }
-            waitOrFail(o);
+            waitOrFail(open);
         }
 
         private boolean hasOtherActiveUpstream(String service, UpstreamState except) {
@@ -342,108 +347,108 @@
         }
 
         /** Returns whether the response has started and its group is down: the caller won't wait for a recovery. */
-        private boolean isStartedAndGroupDown(OpenGatewayRequest o) {
-            return o.isResponseStarted && queue(o).isDown();
+        private boolean isStartedAndGroupDown(OpenGatewayRequest open) {
+            return open.isResponseStarted && queue(open).isDown();
         }
 
-        private boolean canRetry(OpenGatewayRequest o) {
-            return o.attemptCount < o.request.route().maxAttempts()
-                    && nowNanos + MIN_REMAINING.toNanos() < o.request.deadlineNanos()
-                    && selector.select(registry.ofService(o.request.service()), o.triedIds, nowNanos)
+        private boolean canRetry(OpenGatewayRequest open) {
+            return open.attemptCount < open.request.route().maxAttempts()
+                    && nowNanos + MIN_REMAINING.toNanos() < open.request.deadlineNanos()
+                    && selector.select(registry.ofService(open.request.service()), open.triedIds, nowNanos)
                             .isPresent();
         }
 
-        private boolean tryRetry(OpenGatewayRequest o) {
-            return canRetry(o) && retryBudget(o.request.service()).tryRetry(nowNanos);
+        private boolean tryRetry(OpenGatewayRequest open) {
+            return canRetry(open) && retryBudget(open.request.service()).tryRetry(nowNanos);
         }
 
-        private void retryOrFail(OpenGatewayRequest o, Reason reason) {
-            if (tryRetry(o)) {
-                send(o, reason);
+        private void retryOrFail(OpenGatewayRequest open, Reason reason) {
+            if (tryRetry(open)) {
+                send(open, reason);
             } else {
-                fail(o, reason);
+                fail(open, reason);
             }
         }
 
-        private void deliver(OpenGatewayRequest o, OpenGatewayRequest.Attempt a) {
-            close(o);
-            actions.add(new GatewayAction.Deliver(o.request.id(), a.number));
+        private void deliver(OpenGatewayRequest open, OpenGatewayRequest.Attempt attempt) {
+            close(open);
+            actions.add(new GatewayAction.Deliver(open.request.id(), attempt.number));
         }
 
-        private void fail(OpenGatewayRequest o, Reason reason) {
-            close(o);
-            Verdict verdict = o.mayHaveRunReason.isPresent()
-                    ? new Verdict.MayHaveRun(reason == Reason.DEADLINE ? reason : o.mayHaveRunReason.get())
-                    : new Verdict.NotRun(reason, retryAfterPolicy.retryAfter(reason, o.request, nowNanos));
+        private void fail(OpenGatewayRequest open, Reason reason) {
+            close(open);
+            Verdict verdict = open.mayHaveRunReason.isPresent()
+                    ? new Verdict.MayHaveRun(reason == Reason.DEADLINE ? reason : open.mayHaveRunReason.get())
+                    : new Verdict.NotRun(reason, retryAfterPolicy.retryAfter(reason, open.request, nowNanos));
             actions.add(
-                    o.isResponseStarted
-                            ? new GatewayAction.AbortResponse(o.request.id(), verdict)
-                            : new GatewayAction.Refuse(o.request.id(), verdict));
+                    open.isResponseStarted
+                            ? new GatewayAction.AbortResponse(open.request.id(), verdict)
+                            : new GatewayAction.Refuse(open.request.id(), verdict));
         }
 
-        private void close(OpenGatewayRequest o) {
-            openById.remove(o.request.id());
-            byDeadline.remove(o.request);
-            queue(o).remove(o);
-            o.attempt.ifPresent(a -> {
-                byAttempt.remove(a.number);
-                a.upstream.attemptEnded();
-                queue(o).recordSettled(a);
-                actions.add(new GatewayAction.Cancel(a.number));
+        private void close(OpenGatewayRequest open) {
+            openById.remove(open.request.id());
+            byDeadline.remove(open.request);
+            queue(open).remove(open);
+            open.attempt.ifPresent(attempt -> {
+                byAttempt.remove(attempt.number);
+                attempt.upstream.recordAttemptEnded();
+                queue(open).recordSettled(attempt);
+                actions.add(new GatewayAction.Cancel(attempt.number));
             });
-            o.attempt = Optional.empty();
+            open.attempt = Optional.empty();
         }
 
         private void tick() {
             while (!byDeadline.isEmpty() && byDeadline.first().deadlineNanos() <= nowNanos) {
                 expire(openById.get(byDeadline.first().id()));
             }
-            for (OpenGatewayRequest o : List.copyOf(openById.values())) {
-                if (isStalled(o)) {
-                    o.attempt.get().upstream.recordFailure(nowNanos);
-                    retryElsewhere(o);
+            for (OpenGatewayRequest open : List.copyOf(openById.values())) {
+                if (isStalled(open)) {
+                    open.attempt.get().upstream.recordFailure(nowNanos);
+                    retryElsewhere(open);
                 }
             }
             queues.values().forEach(this::tick);
         }
 
         private void tick(AdmissionQueue queue) {
-            queue.pollOverdue(nowNanos).forEach(o -> fail(o, Reason.NO_UPSTREAM));
+            queue.pollOverdue(nowNanos).forEach(open -> fail(open, Reason.NO_UPSTREAM));
             sendWaiting(queue);
         }
 
-        private void expire(OpenGatewayRequest o) {
-            o.attempt.ifPresent(a -> o.mayHaveRunReason = Optional.of(Reason.DEADLINE));
-            fail(o, Reason.DEADLINE);
+        private void expire(OpenGatewayRequest open) {
+            open.attempt.ifPresent(attempt -> open.mayHaveRunReason = Optional.of(Reason.DEADLINE));
+            fail(open, Reason.DEADLINE);
         }
 
         /** Returns whether a retryable attempt makes no progress while others of its service do. */
-        private boolean isStalled(OpenGatewayRequest o) {
-            if (o.attempt.isEmpty() || !o.request.route().isRetryable() || !canRetry(o)) {
+        private boolean isStalled(OpenGatewayRequest open) {
+            if (open.attempt.isEmpty() || !open.request.route().isRetryable() || !canRetry(open)) {
                 return false;
             }
-            OpenGatewayRequest.Attempt a = o.attempt.get();
-            Duration timeout = o.request.route().streaming()
+            OpenGatewayRequest.Attempt attempt = open.attempt.get();
+            Duration timeout = open.request.route().streaming()
                     ? STREAM_STALL_TIMEOUT
-                    : o.request.route().target().multipliedBy(STALL_TARGET_MULTIPLE);
-            if (nowNanos - Math.max(a.progressNanos, a.upstream.lastProgressNanos()) < timeout.toNanos()) {
+                    : open.request.route().target().multipliedBy(STALL_TARGET_MULTIPLE);
+            if (nowNanos - Math.max(attempt.progressNanos, attempt.upstream.lastProgressNanos()) < timeout.toNanos()) {
                 return false;
             }
-            return hasOtherActiveUpstream(o.request.service(), a.upstream);
+            return hasOtherActiveUpstream(open.request.service(), attempt.upstream);
         }
 
-        private void retryElsewhere(OpenGatewayRequest o) {
-            if (!retryBudget(o.request.service()).tryRetry(nowNanos)) {
+        private void retryElsewhere(OpenGatewayRequest open) {
+            if (!retryBudget(open.request.service()).tryRetry(nowNanos)) {
                 return;
             }
-            OpenGatewayRequest.Attempt a = o.attempt.orElseThrow();
-            byAttempt.remove(a.number);
-            a.upstream.attemptEnded();
-            queue(o).recordSettled(a);
-            o.attempt = Optional.empty();
-            o.mayHaveRunReason = Optional.of(Reason.CONNECTION_LOST);
-            actions.add(new GatewayAction.Cancel(a.number));
-            send(o, Reason.CONNECTION_LOST);
+            OpenGatewayRequest.Attempt attempt = open.attempt.orElseThrow();
+            byAttempt.remove(attempt.number);
+            attempt.upstream.recordAttemptEnded();
+            queue(open).recordSettled(attempt);
+            open.attempt = Optional.empty();
+            open.mayHaveRunReason = Optional.of(Reason.CONNECTION_LOST);
+            actions.add(new GatewayAction.Cancel(attempt.number));
+            send(open, Reason.CONNECTION_LOST);
         }
 
         private double millisSince(long nanos) {
--- a/core/src/main/java/org/citrontide/core/gateway/RetryAfterPolicy.java
+++ b/core/src/main/java/org/citrontide/core/gateway/RetryAfterPolicy.java
@@ -32,15 +32,15 @@
      * Returns the delay after which a caller should retry.
      *
      * @param reason why the request was refused
-     * @param r the refused request
+     * @param request the refused request
      * @param nowNanos monotonic time in ns
      * @return delay from now
      */
-    public Duration retryAfter(Reason reason, GatewayRequest r, long nowNanos) {
+    public Duration retryAfter(Reason reason, GatewayRequest request, long nowNanos) {
         boolean isOverload = reason == Reason.OVERLOADED;
         double jitter = isOverload ? OVERLOAD_JITTER : OUTAGE_JITTER;
         double factor = 1 - jitter * random.nextDouble();
-        long remaining = Math.max(0, r.deadlineNanos() - nowNanos);
+        long remaining = Math.max(0, request.deadlineNanos() - nowNanos);
         double mean = isOverload ? OVERLOAD_DELAY.toNanos() * (1 + jitter / 2) : OUTAGE_DELAY.toNanos();
         long nanos = (long) (factor * Math.min(mean, remaining * MAX_FRACTION));
         return Duration.ofNanos(nanos);
--- a/core/src/main/java/org/citrontide/core/gateway/UpstreamState.java
+++ b/core/src/main/java/org/citrontide/core/gateway/UpstreamState.java
@@ -100,7 +100,7 @@
         entry = newEntry;
     }
 
-    void attemptSent() {
+    void recordAttemptSent() {
         inFlight++;
     }
 
@@ -109,7 +109,7 @@
         consecutiveUnreachable = 0;
     }
 
-    void attemptEnded() {
+    void recordAttemptEnded() {
         inFlight--;
     }
 
--- a/core/src/main/java/org/citrontide/core/membership/Upstream.java
+++ b/core/src/main/java/org/citrontide/core/membership/Upstream.java
@@ -52,12 +52,12 @@
      * @return number of requests ahead plus the new one, per slot, divided by the health of the upstream
      */
     public double load(Urgency urgency) {
-        SidecarReport r = report.orElse(NO_REPORT);
+        SidecarReport lastReport = report.orElse(NO_REPORT);
         boolean isLive = urgency == Urgency.LIVE;
-        int reported = isLive ? r.liveAhead() : r.running() + r.waiting();
-        SentCounts s = isLive ? sentLive : sentAll;
-        double ahead = Math.max(s.outstanding, reported + s.sinceReport);
-        return (ahead + 1) / Math.max(1, r.slots()) / health;
+        int reported = isLive ? lastReport.liveAhead() : lastReport.running() + lastReport.waiting();
+        SentCounts sent = isLive ? sentLive : sentAll;
+        double ahead = Math.max(sent.outstanding, reported + sent.sinceReport);
+        return (ahead + 1) / Math.max(1, lastReport.slots()) / health;
     }
 
     /**
@@ -92,8 +92,8 @@
         return isLinked;
     }
 
-    void updateReport(SidecarReport r) {
-        report = Optional.of(r);
+    void updateReport(SidecarReport newReport) {
+        report = Optional.of(newReport);
         resetSentSinceReport();
     }
 
--- a/core/src/main/java/org/citrontide/core/membership/UpstreamDirectory.java
+++ b/core/src/main/java/org/citrontide/core/membership/UpstreamDirectory.java
@@ -41,21 +41,21 @@
      */
     public LinkChanges updateList(Collection<ListedVm> all) {
         List<ListedVm> list = subset.choose(all);
-        List<UpstreamId> dial = new ArrayList<>();
-        List<UpstreamId> drop = new ArrayList<>();
+        List<UpstreamId> toOpen = new ArrayList<>();
+        List<UpstreamId> toClose = new ArrayList<>();
         Set<UpstreamId> present = new HashSet<>();
         for (ListedVm vm : list) {
             present.add(vm.id());
             Upstream known = upstreams.get(vm.id());
             if (known == null || !known.vm().service().equals(vm.service())) {
                 upstreams.put(vm.id(), new Upstream(vm));
-                dial.add(vm.id());
+                toOpen.add(vm.id());
             }
         }
         upstreams.values().removeIf(u -> {
             boolean isGone = !present.contains(u.vm().id()) && !u.isLinked();
             if (isGone) {
-                drop.add(u.vm().id());
+                toClose.add(u.vm().id());
             }
             return isGone;
         });
@@ -65,7 +65,7 @@
                 .forEach(u -> byService
                         .computeIfAbsent(u.vm().service(), s -> new ArrayList<>())
                         .add(u));
-        return new LinkChanges(dial, drop);
+        return new LinkChanges(toOpen, toClose);
     }
 
     /**
@@ -155,15 +155,15 @@
     /**
      * Links to open and to close after an update of the list. Immutable.
      *
-     * @param dial upstreams to connect to
-     * @param drop upstreams that were removed from the directory
+     * @param toOpen upstreams to connect to
+     * @param toClose upstreams that were removed from the directory
      */
-    public record LinkChanges(List<UpstreamId> dial, List<UpstreamId> drop) {
+    public record LinkChanges(List<UpstreamId> toOpen, List<UpstreamId> toClose) {
 
         /** Creates changes with copies of the lists. */
         public LinkChanges {
-            dial = List.copyOf(dial);
-            drop = List.copyOf(drop);
+            toOpen = List.copyOf(toOpen);
+            toClose = List.copyOf(toClose);
         }
     }
 }
--- a/core/src/main/java/org/citrontide/core/publication/ConfigurationSyncController.java
+++ b/core/src/main/java/org/citrontide/core/publication/ConfigurationSyncController.java
@@ -77,8 +77,8 @@
         List<ConfigurationSyncAction> actions = new ArrayList<>();
         switch (event) {
             case ConfigurationSyncEvent.PeerDigest d -> handlePeerDigest(d, nowNanos, actions);
-            case ConfigurationSyncEvent.PeerDisconnected l ->
-                peerRequest = peerRequest.filter(q -> q.peer() != l.peer());
+            case ConfigurationSyncEvent.PeerDisconnected closed ->
+                peerRequest = peerRequest.filter(request -> request.peer() != closed.peer());
             case ConfigurationSyncEvent.PeerFiles f -> handlePeerFiles(f, actions);
             case ConfigurationSyncEvent.StoreHead h -> handleStoreHead(h, nowNanos, actions);
             case ConfigurationSyncEvent.StoreFailed f -> handleStoreFailed(nowNanos);
@@ -88,34 +88,34 @@
     }
 
     private void handlePeerDigest(
-            ConfigurationSyncEvent.PeerDigest d, long nowNanos, List<ConfigurationSyncAction> actions) {
-        if (d.version() >= inForce.version()) {
-            recordConfirmation(nowNanos - d.age().toNanos());
+            ConfigurationSyncEvent.PeerDigest digest, long nowNanos, List<ConfigurationSyncAction> actions) {
+        if (digest.version() >= inForce.version()) {
+            recordConfirmation(nowNanos - digest.age().toNanos());
         }
         boolean isAwaitingPeer = peerRequest
                 .filter(q -> nowNanos - q.sentNanos() < PEER_TIMEOUT.toNanos())
                 .isPresent();
-        if (d.version() > inForce.version() && d.version() != reportedInvalidVersion && !isAwaitingPeer) {
-            peerRequest = Optional.of(new PeerRequest(d.peer(), nowNanos));
-            actions.add(new ConfigurationSyncAction.RequestFiles(d.peer(), inForce.version()));
+        if (digest.version() > inForce.version() && digest.version() != reportedInvalidVersion && !isAwaitingPeer) {
+            peerRequest = Optional.of(new PeerRequest(digest.peer(), nowNanos));
+            actions.add(new ConfigurationSyncAction.RequestFiles(digest.peer(), inForce.version()));
         }
     }
 
-    private void handlePeerFiles(ConfigurationSyncEvent.PeerFiles f, List<ConfigurationSyncAction> actions) {
-        peerRequest = peerRequest.filter(q -> q.peer() != f.peer());
-        if (f.version() <= inForce.version()) {
+    private void handlePeerFiles(ConfigurationSyncEvent.PeerFiles peerFiles, List<ConfigurationSyncAction> actions) {
+        peerRequest = peerRequest.filter(request -> request.peer() != peerFiles.peer());
+        if (peerFiles.version() <= inForce.version()) {
             return;
         }
         Map<String, Configuration.FileText> files = new HashMap<>();
-        for (Map.Entry<String, Long> e : f.files().entrySet()) {
-            Optional<String> text =
-                    Optional.ofNullable(f.texts().get(e.getKey())).or(() -> textInForce(e.getKey(), e.getValue()));
+        for (Map.Entry<String, Long> e : peerFiles.files().entrySet()) {
+            Optional<String> text = Optional.ofNullable(peerFiles.texts().get(e.getKey()))
+                    .or(() -> textInForce(e.getKey(), e.getValue()));
             if (text.isEmpty()) {
                 return;
             }
             files.put(e.getKey(), new Configuration.FileText(e.getValue(), text.get()));
         }
-        install(f.version(), files, actions);
+        install(peerFiles.version(), files, actions);
     }
 
     private Optional<String> textInForce(String name, long version) {
@@ -125,11 +125,11 @@
     }
 
     private void handleStoreHead(
-            ConfigurationSyncEvent.StoreHead h, long nowNanos, List<ConfigurationSyncAction> actions) {
+            ConfigurationSyncEvent.StoreHead storeHead, long nowNanos, List<ConfigurationSyncAction> actions) {
         storeCallOutstanding = false;
         storeInterval = MIN_STORE_INTERVAL;
         scheduleStoreCall(nowNanos, isWatcher ? Duration.ZERO : storeInterval);
-        long version = h.head().version();
+        long version = storeHead.head().version();
         if (version < inForce.version()) {
             if (reportedStoreVersion != version) {
                 reportedStoreVersion = version;
@@ -143,9 +143,9 @@
             return;
         }
         Map<String, Configuration.FileText> files = new HashMap<>();
-        for (Map.Entry<String, Head.HeadFile> e : h.head().files().entrySet()) {
+        for (Map.Entry<String, Head.HeadFile> e : storeHead.head().files().entrySet()) {
             Optional<String> text = Optional.ofNullable(
-                            h.texts().get(e.getValue().hash()))
+                            storeHead.texts().get(e.getValue().hash()))
                     .or(() -> textInForce(e.getKey(), e.getValue().version()));
             if (text.isEmpty()) {
                 return;
@@ -175,8 +175,8 @@
         scheduleStoreCall(nowNanos, storeInterval);
     }
 
-    private void handleTick(ConfigurationSyncEvent.Tick t, long nowNanos, List<ConfigurationSyncAction> actions) {
-        isWatcher = t.watcher();
+    private void handleTick(ConfigurationSyncEvent.Tick tick, long nowNanos, List<ConfigurationSyncAction> actions) {
+        isWatcher = tick.watcher();
         if (storeCallOutstanding) {
             return;
         }
--- a/core/src/main/java/org/citrontide/core/publication/FileCheck.java
+++ b/core/src/main/java/org/citrontide/core/publication/FileCheck.java
@@ -62,7 +62,7 @@
      */
     public static ValidationResult<PublishedFile> check(String file, String text) {
         if (text.length() > MAX_FILE_BYTES) {
-            Violation v = new Violation(
+            Violation violation = new Violation(
                     file,
                     0,
                     0,
@@ -70,7 +70,7 @@
                     Violation.Kind.OUT_OF_RANGE,
                     text.length() + " bytes",
                     "at most " + MAX_FILE_BYTES + " bytes");
-            return new ValidationResult<>(Optional.empty(), List.of(v));
+            return new ValidationResult<>(Optional.empty(), List.of(violation));
         }
         TomlSection root = TomlSection.parse(file, text);
         FileKind kind = root.enumValue("kind", FileKind.class, Optional.empty());
@@ -94,21 +94,21 @@
         return root.finish(() -> new ServiceFile(name, kind, calls, classes, weights, limits));
     }
 
-    private static CallRule callRule(TomlSection s) {
-        String method = s.optionalString("method").orElse(DEFAULT_METHOD);
+    private static CallRule callRule(TomlSection section) {
+        String method = section.optionalString("method").orElse(DEFAULT_METHOD);
         if (!ALLOWED_METHODS.contains(method)) {
-            s.report(
+            section.report(
                     "method",
                     Violation.Kind.OUT_OF_RANGE,
                     "\"" + method + "\"",
                     "one of " + String.join(", ", ALLOWED_METHODS));
         }
-        String path = s.requireString("path");
+        String path = section.requireString("path");
         if (!path.isEmpty() && !path.startsWith("/")) {
-            s.report("path", Violation.Kind.OUT_OF_RANGE, "\"" + path + "\"", "a path that begins with /");
+            section.report("path", Violation.Kind.OUT_OF_RANGE, "\"" + path + "\"", "a path that begins with /");
         }
-        boolean repeatable = s.bool("repeatable", false);
-        Urgency urgency = s.enumValue("urgency", Urgency.class, Optional.of(Urgency.LIVE));
+        boolean repeatable = section.bool("repeatable", false);
+        Urgency urgency = section.enumValue("urgency", Urgency.class, Optional.of(Urgency.LIVE));
         return new CallRule(method, path, repeatable, urgency);
     }
 
@@ -137,10 +137,10 @@
         return rules;
     }
 
-    private static ClassRule classRule(TomlSection s, ClassRule defaults) {
-        Duration target = s.milliseconds(
+    private static ClassRule classRule(TomlSection section, ClassRule defaults) {
+        Duration target = section.milliseconds(
                 "target_ms", 1, MAX_TARGET_MS, (int) defaults.target().toMillis());
-        int percent = s.integer("guaranteed_percent", 0, MAX_PERCENT, defaults.guaranteedPercent());
+        int percent = section.integer("guaranteed_percent", 0, MAX_PERCENT, defaults.guaranteedPercent());
         return new ClassRule(target, percent);
     }
 
@@ -157,51 +157,52 @@
     }
 
     private static ServiceFile.Limits limits(TomlSection root) {
-        TomlSection s = root.section("limits").orElse(TomlSection.parse("", ""));
-        Duration timeout = s.milliseconds("timeout_ms", MIN_TIMEOUT_MS, MAX_TARGET_MS, DEFAULT_TIMEOUT_MS);
-        Duration window = Duration.ofSeconds(s.integer("claim_window_s", MIN_WINDOW_S, MAX_WINDOW_S, DEFAULT_WINDOW_S));
+        TomlSection section = root.section("limits").orElse(TomlSection.parse("", ""));
+        Duration timeout = section.milliseconds("timeout_ms", MIN_TIMEOUT_MS, MAX_TARGET_MS, DEFAULT_TIMEOUT_MS);
+        Duration window =
+                Duration.ofSeconds(section.integer("claim_window_s", MIN_WINDOW_S, MAX_WINDOW_S, DEFAULT_WINDOW_S));
         if (timeout.compareTo(window.minus(ClaimLedger.CLOCK_MARGIN.multipliedBy(2))) > 0) {
-            s.report(
+            section.report(
                     "claim_window_s",
                     Violation.Kind.CONTRADICTION,
                     window.toSeconds() + " s with a timeout of " + timeout.toMillis() + " ms",
                     "at least the timeout and twice the clock margin of " + ClaimLedger.CLOCK_MARGIN.toSeconds()
                             + " s");
         }
-        int slots = s.integer("slots", 1, MAX_SLOTS, DEFAULT_SLOTS);
+        int slots = section.integer("slots", 1, MAX_SLOTS, DEFAULT_SLOTS);
         return new ServiceFile.Limits(
                 timeout,
-                s.integer("queue_length", 1, MAX_QUEUE_LENGTH, DEFAULT_QUEUE_LENGTH),
+                section.integer("queue_length", 1, MAX_QUEUE_LENGTH, DEFAULT_QUEUE_LENGTH),
                 slots,
-                s.integer("live_slots", 0, slots - 1, slots / DEFAULT_LIVE_SLOTS_DIVISOR),
-                s.integer("retry_percent", 0, MAX_PERCENT, DEFAULT_RETRY_PERCENT),
-                s.integer("max_body_bytes", 1, MAX_BODY_BYTES, DEFAULT_MAX_BODY_BYTES),
+                section.integer("live_slots", 0, slots - 1, slots / DEFAULT_LIVE_SLOTS_DIVISOR),
+                section.integer("retry_percent", 0, MAX_PERCENT, DEFAULT_RETRY_PERCENT),
+                section.integer("max_body_bytes", 1, MAX_BODY_BYTES, DEFAULT_MAX_BODY_BYTES),
                 window);
     }
 
     private static ValidationResult<PublishedFile> teamsFile(TomlSection root) {
         Map<String, String> byHash = new HashMap<>();
-        for (TomlSection s : root.sections("teams")) {
-            String name = requireName(s, "name");
-            String hash = s.requireString("token_sha256");
+        for (TomlSection section : root.sections("teams")) {
+            String name = requireName(section, "name");
+            String hash = section.requireString("token_sha256");
             if (!hash.isEmpty() && !SHA256_HEX.matcher(hash).matches()) {
-                s.report(
+                section.report(
                         "token_sha256",
                         Violation.Kind.OUT_OF_RANGE,
                         hash.length() + " characters",
                         "64 lower-case hexadecimal digits");
             }
             if (byHash.put(hash, name) != null) {
-                s.report("token_sha256", Violation.Kind.CONTRADICTION, "a duplicate hash", "one team per token");
+                section.report("token_sha256", Violation.Kind.CONTRADICTION, "a duplicate hash", "one team per token");
             }
         }
         return root.finish(() -> new TeamsFile(byHash));
     }
 
-    private static String requireName(TomlSection s, String key) {
-        String name = s.requireString(key);
+    private static String requireName(TomlSection section, String key) {
+        String name = section.requireString(key);
         if (!name.isEmpty() && !NAME.matcher(name).matches()) {
-            s.report(key, Violation.Kind.OUT_OF_RANGE, "\"" + name + "\"", EXPECTED_NAME);
+            section.report(key, Violation.Kind.OUT_OF_RANGE, "\"" + name + "\"", EXPECTED_NAME);
         }
         return name;
     }
--- a/core/src/main/java/org/citrontide/core/publication/PublicationStateMachine.java
+++ b/core/src/main/java/org/citrontide/core/publication/PublicationStateMachine.java
@@ -17,7 +17,7 @@
 import org.citrontide.core.toml.ValidationResult;
 
 /**
- * Publishes a set of file changes atomically, by one compare-and-swap on the head.
+ * Publishes a set of file changes atomically, by one compare-and-set on the head.
  *
  * <p>Invariants:
  *
--- a/core/src/main/java/org/citrontide/core/toml/TomlSection.java
+++ b/core/src/main/java/org/citrontide/core/toml/TomlSection.java
@@ -83,12 +83,12 @@
      */
     public Optional<String> optionalString(String key) {
         readKeys.add(key);
-        Object v = table.get(List.of(key));
-        if (v == null) {
+        Object value = table.get(List.of(key));
+        if (value == null) {
             return Optional.empty();
         }
-        if (!(v instanceof String s)) {
-            report(key, Violation.Kind.WRONG_TYPE, describe(v), "a string");
+        if (!(value instanceof String s)) {
+            report(key, Violation.Kind.WRONG_TYPE, describe(value), "a string");
             return Optional.of("");
         }
         if (s.isBlank()) {
@@ -108,17 +108,17 @@
      */
     public int integer(String key, int min, int max, int defaultValue) {
         readKeys.add(key);
-        Object v = table.get(List.of(key));
-        if (v == null) {
+        Object value = table.get(List.of(key));
+        if (value == null) {
             return defaultValue;
         }
         String expected = "an integer from " + min + " to " + max;
-        if (!(v instanceof Long n)) {
-            report(key, Violation.Kind.WRONG_TYPE, describe(v), expected);
+        if (!(value instanceof Long n)) {
+            report(key, Violation.Kind.WRONG_TYPE, describe(value), expected);
             return defaultValue;
         }
         if (n < min || n > max) {
-            report(key, Violation.Kind.OUT_OF_RANGE, describe(v), expected);
+            report(key, Violation.Kind.OUT_OF_RANGE, describe(value), expected);
             return defaultValue;
         }
         return n.intValue();
@@ -151,17 +151,17 @@
      */
     public double decimal(String key, double min, double max, double defaultValue) {
         readKeys.add(key);
-        Object v = table.get(List.of(key));
-        if (v == null) {
+        Object value = table.get(List.of(key));
+        if (value == null) {
             return defaultValue;
         }
         String expected = "a number from " + min + " to " + max;
-        if (!(v instanceof Number n)) {
-            report(key, Violation.Kind.WRONG_TYPE, describe(v), expected);
+        if (!(value instanceof Number n)) {
+            report(key, Violation.Kind.WRONG_TYPE, describe(value), expected);
             return defaultValue;
         }
         if (n.doubleValue() < min || n.doubleValue() > max) {
-            report(key, Violation.Kind.OUT_OF_RANGE, describe(v), expected);
+            report(key, Violation.Kind.OUT_OF_RANGE, describe(value), expected);
             return defaultValue;
         }
         return n.doubleValue();
@@ -189,12 +189,12 @@
      */
     public boolean bool(String key, boolean defaultValue) {
         readKeys.add(key);
-        Object v = table.get(List.of(key));
-        if (v == null) {
+        Object value = table.get(List.of(key));
+        if (value == null) {
             return defaultValue;
         }
-        if (!(v instanceof Boolean b)) {
-            report(key, Violation.Kind.WRONG_TYPE, describe(v), "true or false");
+        if (!(value instanceof Boolean b)) {
+            report(key, Violation.Kind.WRONG_TYPE, describe(value), "true or false");
             return defaultValue;
         }
         return b;
@@ -215,16 +215,16 @@
         String expected = "one of "
                 + String.join(
                         ", ", Arrays.stream(all).map(TomlSection::lowerCaseName).toList());
-        Object v = table.get(List.of(key));
-        if (v == null) {
+        Object value = table.get(List.of(key));
+        if (value == null) {
             return defaultValue.orElseGet(() -> reportMissing(key, expected, all[0]));
         }
         for (E e : all) {
-            if (lowerCaseName(e).equals(v)) {
+            if (lowerCaseName(e).equals(value)) {
                 return e;
             }
         }
-        report(key, Violation.Kind.OUT_OF_RANGE, describe(v), expected);
+        report(key, Violation.Kind.OUT_OF_RANGE, describe(value), expected);
         return all[0];
     }
 
@@ -236,12 +236,12 @@
      */
     public List<String> strings(String key) {
         readKeys.add(key);
-        Object v = table.get(List.of(key));
-        if (v == null) {
+        Object value = table.get(List.of(key));
+        if (value == null) {
             return List.of();
         }
-        if (!(v instanceof TomlArray a) || !a.toList().stream().allMatch(String.class::isInstance)) {
-            report(key, Violation.Kind.WRONG_TYPE, describe(v), "a list of strings");
+        if (!(value instanceof TomlArray a) || !a.toList().stream().allMatch(String.class::isInstance)) {
+            report(key, Violation.Kind.WRONG_TYPE, describe(value), "a list of strings");
             return List.of();
         }
         return a.toList().stream().map(String.class::cast).toList();
@@ -255,12 +255,12 @@
      */
     public Optional<TomlSection> section(String key) {
         readKeys.add(key);
-        Object v = table.get(List.of(key));
-        if (v == null) {
+        Object value = table.get(List.of(key));
+        if (value == null) {
             return Optional.empty();
         }
-        if (!(v instanceof TomlTable t)) {
-            report(key, Violation.Kind.WRONG_TYPE, describe(v), "a table");
+        if (!(value instanceof TomlTable t)) {
+            report(key, Violation.Kind.WRONG_TYPE, describe(value), "a table");
             return Optional.empty();
         }
         return Optional.of(child(prefix + key + ".", t, table.inputPositionOf(List.of(key))));
@@ -274,12 +274,12 @@
      */
     public List<TomlSection> sections(String key) {
         readKeys.add(key);
-        Object v = table.get(List.of(key));
-        if (v == null) {
+        Object value = table.get(List.of(key));
+        if (value == null) {
             return List.of();
         }
-        if (!(v instanceof TomlArray a) || !a.toList().stream().allMatch(TomlTable.class::isInstance)) {
-            report(key, Violation.Kind.WRONG_TYPE, describe(v), "an array of tables");
+        if (!(value instanceof TomlArray a) || !a.toList().stream().allMatch(TomlTable.class::isInstance)) {
+            report(key, Violation.Kind.WRONG_TYPE, describe(value), "an array of tables");
             return List.of();
         }
         List<TomlSection> list = new ArrayList<>();
@@ -308,12 +308,12 @@
      * @param expected what was expected
      */
     public void report(String key, Violation.Kind kind, String found, String expected) {
-        TomlPosition p = table.inputPositionOf(List.of(key));
-        if (p == null) {
-            p = start;
+        TomlPosition position = table.inputPositionOf(List.of(key));
+        if (position == null) {
+            position = start;
         }
-        int line = p == null ? 0 : p.line();
-        int column = p == null ? 0 : p.column();
+        int line = position == null ? 0 : position.line();
+        int column = position == null ? 0 : position.column();
         violations.add(new Violation(file, line, column, prefix + key, kind, found, expected));
     }
 
@@ -356,8 +356,8 @@
                 .orElse("one of " + String.join(", ", readKeys));
     }
 
-    private TomlSection child(String path, TomlTable t, TomlPosition position) {
-        TomlSection c = new TomlSection(file, path, t, position, violations);
+    private TomlSection child(String path, TomlTable nested, TomlPosition position) {
+        TomlSection c = new TomlSection(file, path, nested, position, violations);
         children.add(c);
         return c;
     }
@@ -371,12 +371,12 @@
         return e.name().toLowerCase(Locale.ROOT);
     }
 
-    private static String describe(Object v) {
-        return switch (v) {
+    private static String describe(Object value) {
+        return switch (value) {
             case String s -> "\"" + s + "\"";
             case TomlTable t -> "a table";
             case TomlArray a -> "a list";
-            default -> v.toString();
+            default -> value.toString();
         };
     }
 
--- a/core/src/test/java/org/citrontide/core/expertmap/GroupStateSearch.java
+++ b/core/src/test/java/org/citrontide/core/expertmap/GroupStateSearch.java
@@ -78,9 +78,9 @@
     /** Returns the initial state of a rank: both maps are loaded, except that the failed rank lacks one of them. */
     private static RankState initialState(int rank, int failedRank) {
         RankState s = RankState.initial(rank, RANKS);
-        for (long fence = 1; fence <= 2; fence++) {
-            if (rank != failedRank || fence != 1 + failedRank % 2) {
-                s = RankCommitProtocol.handle(s, new RankEvent.WeightsLoaded(new MapId(fence, 1)))
+        for (long fencingToken = 1; fencingToken <= 2; fencingToken++) {
+            if (rank != failedRank || fencingToken != 1 + failedRank % 2) {
+                s = RankCommitProtocol.handle(s, new RankEvent.WeightsLoaded(new MapId(fencingToken, 1)))
                         .state();
             }
         }
--- a/core/src/test/java/org/citrontide/core/faults/FakeEntry.java
+++ b/core/src/test/java/org/citrontide/core/faults/FakeEntry.java
@@ -19,7 +19,7 @@
 
 /** A simulated entry process around the real dispatcher. */
 final class FakeEntry {
-    /** A request of a caller. Repetitions of a request with the same key share its name. */
+    /** A request of a caller. Retries of a request share its name. */
     record CallerRequest(long id, String name, boolean repeatable, boolean streamed, Optional<String> key) {
         Urgency urgency() {
             return Urgency.LIVE;
@@ -74,21 +74,22 @@
     void killAndRestart() {
         List<CallerRequest> lost = List.copyOf(openRequests.values());
         start();
-        lost.forEach(a -> simulation.callerConnectionLost(a));
+        lost.forEach(callerRequest -> simulation.callerConnectionLost(callerRequest));
     }
 
-    void submit(CallerRequest a) {
-        openRequests.put(a.id(), a);
-        Optional<Integer> bucket = a.key()
-                .filter(k -> !a.repeatable())
-                .map(k -> KeyHash.of("booking", a.team(), k).bucket());
+    void submit(CallerRequest callerRequest) {
+        openRequests.put(callerRequest.id(), callerRequest);
+        Optional<Integer> bucket = callerRequest
+                .key()
+                .filter(k -> !callerRequest.repeatable())
+                .map(k -> KeyHash.of("booking", callerRequest.team(), k).bucket());
         handle(new DispatchEvent.RequestArrived(new DispatchRequest(
-                a.id(),
+                callerRequest.id(),
                 "booking",
-                a.team(),
-                a.urgency(),
+                callerRequest.team(),
+                callerRequest.urgency(),
                 1,
-                a.repeatable(),
+                callerRequest.repeatable(),
                 bucket,
                 simulation.loop.now() + 10 * EventLoop.SECOND)));
     }
@@ -109,7 +110,7 @@
     private void perform(DispatchAction action) {
         switch (action) {
             case DispatchAction.SendAttempt s -> {
-                CallerRequest a = openRequests.get(s.request());
+                CallerRequest callerRequest = openRequests.get(s.request());
                 long remainingNanos = s.remaining().toNanos();
                 FakeSidecar target = simulation.sidecar(s.upstream());
                 int eventsToSkip = s.resumeAfterEvents();
@@ -123,7 +124,12 @@
                                 this,
                                 target,
                                 () -> target.receiveAttempt(
-                                        this, initialIncarnation, s.attempt(), a, remainingNanos, eventsToSkip)));
+                                        this,
+                                        initialIncarnation,
+                                        s.attempt(),
+                                        callerRequest,
+                                        remainingNanos,
+                                        eventsToSkip)));
             }
             case DispatchAction.CancelAttempt c -> {
                 FakeSidecar target = simulation.sidecar(c.upstream());
@@ -147,7 +153,7 @@
     }
 
     private void finish(long request, Verdict verdict, String content) {
-        CallerRequest a = openRequests.remove(request);
-        simulation.recordEnd(a, verdict, content);
+        CallerRequest callerRequest = openRequests.remove(request);
+        simulation.recordEnd(callerRequest, verdict, content);
     }
 }
--- a/core/src/test/java/org/citrontide/core/faults/FakeSidecar.java
+++ b/core/src/test/java/org/citrontide/core/faults/FakeSidecar.java
@@ -88,10 +88,10 @@
             }
             long number = nextNumber++;
             openAttempts.put(number, new OpenAttempt(entry, entryIncarnation, attempt, request, eventsToSkip));
-            QueuedRequest w = new QueuedRequest(
+            QueuedRequest queued = new QueuedRequest(
                     number, request.urgency(), request.team(), 1, simulation.loop.now() + remainingNanos);
             Optional<KeyHash> key = request.key().map(k -> KeyHash.of("booking", request.team(), k));
-            handle(new GateEvent.AttemptArrived(new GateRequest(w, request.repeatable(), key, deadlineEpoch)));
+            handle(new GateEvent.AttemptArrived(new GateRequest(queued, request.repeatable(), key, deadlineEpoch)));
         });
     }
 
@@ -139,12 +139,12 @@
             case GateAction.CallClaimStore c -> callStore(c.call());
             case GateAction.ReplayAnswer r -> replayAnswer(r);
             case GateAction.EndAttempt e -> {
-                OpenAttempt o = openAttempts.remove(e.id());
-                if (o != null) {
+                OpenAttempt open = openAttempts.remove(e.id());
+                if (open != null) {
                     sendAnswerEvent(
                             InjectionPoint.ANSWER_END,
-                            o,
-                            new DispatchEvent.AttemptEnded(o.attempt(), e.verdict(), e.length()));
+                            open,
+                            new DispatchEvent.AttemptEnded(open.attempt(), e.verdict(), e.length()));
                 }
             }
             case GateAction.DrainCompleted d -> {
@@ -165,59 +165,66 @@
             }
             boolean inTime =
                     simulation.loop.now() < s.latestNanos() && simulation.loop.epochMillis() < s.latestEpochMillis();
-            OpenAttempt o = openAttempts.get(s.id());
+            OpenAttempt open = openAttempts.get(s.id());
             if (!inTime) {
                 handle(new GateEvent.CallEnded(s.id(), new CallOutcome.NeverSent(Reason.DEADLINE)));
                 return;
             }
-            simulation.recordRun(o.request());
+            simulation.recordRun(open.request());
             simulation.deliverOrInject(
                     InjectionPoint.CALL_RUNNING,
                     this,
-                    o.entry(),
+                    open.entry(),
                     () -> simulation.loop.schedule(
                             CALL_DURATION_NANOS,
                             () -> runInProcess(() -> {
-                                finishCall(s.id(), o);
+                                finishCall(s.id(), open);
                             })));
         });
     }
 
-    private void finishCall(long number, OpenAttempt o) {
+    private void finishCall(long number, OpenAttempt open) {
         if (abortedCalls.remove(number) || upstreamCallsToFail-- > 0) {
             handle(new GateEvent.CallEnded(number, new CallOutcome.AnswerLost(Reason.CONNECTION_LOST)));
             return;
         }
-        String type = o.request().streamed() ? "text/event-stream" : "text/plain";
-        List<String> chunks = o.request().chunks(o.eventsToSkip());
-        sendAnswerEvent(InjectionPoint.ANSWER_HEAD, o, new DispatchEvent.AnswerHead(o.attempt(), 200, type));
+        String type = open.request().streamed() ? "text/event-stream" : "text/plain";
+        List<String> chunks = open.request().chunks(open.eventsToSkip());
+        sendAnswerEvent(InjectionPoint.ANSWER_HEAD, open, new DispatchEvent.AnswerHead(open.attempt(), 200, type));
         long offset = 0;
         StringBuilder whole = new StringBuilder();
         for (String c : chunks) {
             byte[] bytes = c.getBytes(StandardCharsets.UTF_8);
-            sendAnswerEvent(InjectionPoint.ANSWER_CHUNK, o, new DispatchEvent.AnswerChunk(o.attempt(), offset, bytes));
+            sendAnswerEvent(
+                    InjectionPoint.ANSWER_CHUNK, open, new DispatchEvent.AnswerChunk(open.attempt(), offset, bytes));
             offset += bytes.length;
             whole.append(c);
         }
-        StoredResponse kept = new StoredResponse(200, type, whole.toString().getBytes(StandardCharsets.UTF_8));
-        handle(new GateEvent.CallEnded(number, new CallOutcome.Answered(200, offset, Optional.of(kept))));
+        StoredResponse response = new StoredResponse(200, type, whole.toString().getBytes(StandardCharsets.UTF_8));
+        handle(new GateEvent.CallEnded(number, new CallOutcome.Answered(200, offset, Optional.of(response))));
     }
 
     private void replayAnswer(GateAction.ReplayAnswer r) {
-        OpenAttempt o = openAttempts.remove(r.id());
-        StoredResponse a = r.answer();
+        OpenAttempt open = openAttempts.remove(r.id());
+        StoredResponse response = r.answer();
         sendAnswerEvent(
-                InjectionPoint.ANSWER_HEAD, o, new DispatchEvent.AnswerHead(o.attempt(), a.status(), a.contentType()));
-        sendAnswerEvent(InjectionPoint.ANSWER_CHUNK, o, new DispatchEvent.AnswerChunk(o.attempt(), 0, a.body()));
+                InjectionPoint.ANSWER_HEAD,
+                open,
+                new DispatchEvent.AnswerHead(open.attempt(), response.status(), response.contentType()));
+        sendAnswerEvent(
+                InjectionPoint.ANSWER_CHUNK, open, new DispatchEvent.AnswerChunk(open.attempt(), 0, response.body()));
         sendAnswerEvent(
                 InjectionPoint.ANSWER_END,
-                o,
-                new DispatchEvent.AttemptEnded(o.attempt(), new Verdict.Completed(200), a.body().length));
+                open,
+                new DispatchEvent.AttemptEnded(open.attempt(), new Verdict.Completed(200), response.body().length));
     }
 
-    private void sendAnswerEvent(InjectionPoint point, OpenAttempt o, DispatchEvent event) {
+    private void sendAnswerEvent(InjectionPoint point, OpenAttempt open, DispatchEvent event) {
         simulation.deliverOrInject(
-                point, this, o.entry(), () -> simulation.sendToEntry(this, o.entry(), o.entryIncarnation(), event));
+                point,
+                this,
+                open.entry(),
+                () -> simulation.sendToEntry(this, open.entry(), open.entryIncarnation(), event));
     }
 
     private void callStore(ClaimAction call) {
--- a/core/src/test/java/org/citrontide/core/faults/FaultSimulation.java
+++ b/core/src/test/java/org/citrontide/core/faults/FaultSimulation.java
@@ -19,7 +19,7 @@
 import org.citrontide.core.verdict.Verdict;
 
 /**
- * Simulates two entries and two sidecars, which run the real state machines, a claim store, and callers that repeat
+ * Simulates two entries and two sidecars, which run the real state machines, a claim store, and callers that retry
  * their requests. In half of the seeds each entry is linked to only one sidecar. Faults are injected one after the
  * other at a given injection point. The simulation is a deterministic function of the seed.
  */
@@ -112,10 +112,10 @@
     }
 
     private void submit(FakeEntry e, String name, boolean repeatable, boolean streamed, Optional<String> key) {
-        FakeEntry.CallerRequest a = new FakeEntry.CallerRequest(nextRequestId++, name, repeatable, streamed, key);
-        submittedRequests.add(a);
+        FakeEntry.CallerRequest request = new FakeEntry.CallerRequest(nextRequestId++, name, repeatable, streamed, key);
+        submittedRequests.add(request);
         submissionsByName.merge(name, 1, Integer::sum);
-        e.submit(a);
+        e.submit(request);
     }
 
     /** Delivers the message of an injection point, or injects the next fault if this pass is selected for it. */
@@ -176,13 +176,13 @@
             default -> {
                 message.run();
                 List.copyOf(submittedRequests)
-                        .forEach(a -> a.key()
+                        .forEach(request -> request.key()
                                 .ifPresent(k -> submit(
-                                        entries.get((int) (a.id() % 2)),
-                                        a.name(),
-                                        a.repeatable(),
-                                        a.streamed(),
-                                        a.key())));
+                                        entries.get((int) (request.id() % 2)),
+                                        request.name(),
+                                        request.repeatable(),
+                                        request.streamed(),
+                                        request.key())));
             }
         }
     }
@@ -245,59 +245,61 @@
         return sidecars.stream().filter(s -> s.id.equals(id)).findFirst().orElseThrow();
     }
 
-    void recordRun(FakeEntry.CallerRequest a) {
-        runsByRequest.merge(a.id(), 1, Integer::sum);
-        runsByName.merge(a.name(), 1, Integer::sum);
+    void recordRun(FakeEntry.CallerRequest request) {
+        runsByRequest.merge(request.id(), 1, Integer::sum);
+        runsByName.merge(request.name(), 1, Integer::sum);
     }
 
-    void callerConnectionLost(FakeEntry.CallerRequest a) {
-        verdicts.put(a.id(), new Verdict.MayHaveRun(Reason.CONNECTION_LOST));
-        resubmit(a);
+    void callerConnectionLost(FakeEntry.CallerRequest request) {
+        verdicts.put(request.id(), new Verdict.MayHaveRun(Reason.CONNECTION_LOST));
+        resubmit(request);
     }
 
-    void recordEnd(FakeEntry.CallerRequest a, Verdict verdict, String content) {
-        if (a == null) {
+    void recordEnd(FakeEntry.CallerRequest request, Verdict verdict, String content) {
+        if (request == null) {
             violations.add("an answer to a request that is already finished: " + verdict);
             return;
         }
-        if (verdicts.put(a.id(), verdict) != null) {
-            violations.add("a second answer to " + a);
+        if (verdicts.put(request.id(), verdict) != null) {
+            violations.add("a second answer to " + request);
         }
         switch (verdict) {
             case Verdict.Completed c -> {
-                servedNames.add(a.name());
-                if (!content.equals(a.content())) {
-                    violations.add(a + " completed with wrong content " + content);
+                servedNames.add(request.name());
+                if (!content.equals(request.content())) {
+                    violations.add(request + " completed with wrong content " + content);
                 }
             }
-            default -> resubmit(a);
+            default -> resubmit(request);
         }
     }
 
-    private void resubmit(FakeEntry.CallerRequest a) {
-        boolean mayResubmit = a.repeatable() || a.key().isPresent();
-        if (mayResubmit && submissionsByName.get(a.name()) < 4) {
-            FakeEntry other = entries.get((int) (a.id() % 2));
-            loop.schedule(EventLoop.SECOND, () -> submit(other, a.name(), a.repeatable(), a.streamed(), a.key()));
+    private void resubmit(FakeEntry.CallerRequest request) {
+        boolean mayResubmit = request.repeatable() || request.key().isPresent();
+        if (mayResubmit && submissionsByName.get(request.name()) < 4) {
+            FakeEntry other = entries.get((int) (request.id() % 2));
+            loop.schedule(
+                    EventLoop.SECOND,
+                    () -> submit(other, request.name(), request.repeatable(), request.streamed(), request.key()));
         }
     }
 
     private void checkInvariants() {
-        for (FakeEntry.CallerRequest a : submittedRequests) {
-            Verdict v = verdicts.get(a.id());
-            if (v == null) {
-                violations.add("no answer to " + a);
+        for (FakeEntry.CallerRequest request : submittedRequests) {
+            Verdict verdict = verdicts.get(request.id());
+            if (verdict == null) {
+                violations.add("no answer to " + request);
                 continue;
             }
-            int runs = runsByRequest.getOrDefault(a.id(), 0);
-            if (v instanceof Verdict.NotRun && runs > 0) {
-                violations.add(a + " ran, but its verdict is " + v);
+            int runs = runsByRequest.getOrDefault(request.id(), 0);
+            if (verdict instanceof Verdict.NotRun && runs > 0) {
+                violations.add(request + " ran, but its verdict is " + verdict);
             }
-            if (!a.repeatable() && runs > 1) {
-                violations.add(a + " ran " + runs + " times");
+            if (!request.repeatable() && runs > 1) {
+                violations.add(request + " ran " + runs + " times");
             }
-            if (!a.repeatable() && a.key().isPresent() && runsByName.getOrDefault(a.name(), 0) > 1) {
-                violations.add("key " + a.name() + " ran " + runsByName.get(a.name()) + " times");
+            if (!request.repeatable() && request.key().isPresent() && runsByName.getOrDefault(request.name(), 0) > 1) {
+                violations.add("key " + request.name() + " ran " + runsByName.get(request.name()) + " times");
             }
         }
     }
--- a/core/src/test/java/org/citrontide/core/faults/FaultSteps.java
+++ b/core/src/test/java/org/citrontide/core/faults/FaultSteps.java
@@ -85,33 +85,36 @@
      */
     @AfterAll
     public static void writeTable() throws IOException {
-        StringBuilder b = new StringBuilder("# Faults by injection point\n\n");
-        b.append("Written by the run of `core`'s `faults.feature`; ").append(SEEDS);
-        b.append(" seeds per cell; the fault is injected in more than half of them.\n");
-        b.append("Each cell checks that no booking ran more than once, that every answer was complete and its caller's"
-                + " own,\n");
-        b.append("that every *not run* was correct, and that every request got exactly one answer.\n\n| fault |");
-        for (InjectionPoint s : InjectionPoint.values()) {
-            b.append(' ').append(label(s.name())).append(" |");
+        StringBuilder table = new StringBuilder("# Faults by injection point\n\n");
+        table.append("Written by the run of `core`'s `faults.feature`; ").append(SEEDS);
+        table.append(" seeds per cell; the fault is injected in more than half of them.\n");
+        table.append(
+                "Each cell checks that no booking ran more than once, that every answer was complete and its caller's"
+                        + " own,\n");
+        table.append("that every *not run* was correct, and that every request got exactly one answer.\n\n| fault |");
+        for (InjectionPoint column : InjectionPoint.values()) {
+            table.append(' ').append(label(column.name())).append(" |");
         }
-        b.append("\n|---|")
+        table.append("\n|---|")
                 .append("---|".repeat(InjectionPoint.values().length))
                 .append('\n');
         for (Fault f : Fault.values()) {
-            b.append("| ").append(label(f.name())).append(" |");
-            for (InjectionPoint s : InjectionPoint.values()) {
-                String cell = RESULTS.getOrDefault(s, Map.of()).getOrDefault(f, "not applicable");
-                b.append(' ').append(cell).append(" |");
+            table.append("| ").append(label(f.name())).append(" |");
+            for (InjectionPoint column : InjectionPoint.values()) {
+                String cell = RESULTS.getOrDefault(column, Map.of()).getOrDefault(f, "not applicable");
+                table.append(' ').append(cell).append(" |");
             }
-            b.append('\n');
+            table.append('\n');
         }
-        b.append("| any two faults, ").append(PAIR_SEEDS).append(" seeds per pair |");
-        for (InjectionPoint s : InjectionPoint.values()) {
-            b.append(' ').append(PAIR_RESULTS.getOrDefault(s, "not run")).append(" |");
+        table.append("| any two faults, ").append(PAIR_SEEDS).append(" seeds per pair |");
+        for (InjectionPoint column : InjectionPoint.values()) {
+            table.append(' ')
+                    .append(PAIR_RESULTS.getOrDefault(column, "not run"))
+                    .append(" |");
         }
-        b.append('\n');
+        table.append('\n');
         Files.createDirectories(Path.of("target"));
-        Files.writeString(Path.of("target", "FAULTS.md"), b.toString());
+        Files.writeString(Path.of("target", "FAULTS.md"), table.toString());
     }
 
     private void run(long seed, List<Fault> faults) {
@@ -119,12 +122,12 @@
         if (isLocal && (faults.contains(Fault.DUPLICATE_MESSAGE) || faults.contains(Fault.DROP_MESSAGE))) {
             return;
         }
-        FaultSimulation w = new FaultSimulation(seed, faults, point);
-        w.run();
-        w.violations.forEach(v -> violations.add(faults + " seed " + seed + ": " + v));
-        injectedCount += w.injectedCount;
-        if (w.allLinksUp) {
-            servedCount += w.servedNames.size();
+        FaultSimulation simulation = new FaultSimulation(seed, faults, point);
+        simulation.run();
+        simulation.violations.forEach(v -> violations.add(faults + " seed " + seed + ": " + v));
+        injectedCount += simulation.injectedCount;
+        if (simulation.allLinksUp) {
+            servedCount += simulation.servedNames.size();
             requestCount += 8;
         }
     }
--- a/core/src/test/java/org/citrontide/core/faults/PolicySimulation.java
+++ b/core/src/test/java/org/citrontide/core/faults/PolicySimulation.java
@@ -26,7 +26,7 @@
 import org.citrontide.core.verdict.Verdict;
 
 /**
- * Simulates two entries and four upstreams under load, with the real state machines and virtual time. Callers repeat
+ * Simulates two entries and four upstreams under load, with the real state machines and virtual time. Callers retry
  * refused requests after the indicated delay. The baseline runs the same state machines with a single class and team.
  */
 final class PolicySimulation {
@@ -136,11 +136,11 @@
         });
     }
 
-    private void submit(CallerRequest a) {
+    private void submit(CallerRequest callerRequest) {
         long id = nextId++;
-        openRequests.put(id, a);
+        openRequests.put(id, callerRequest);
         int e = loop.random.nextInt(entries.size());
-        TrafficSource s = a.source();
+        TrafficSource s = callerRequest.source();
         int cost = Math.max(1, (int) (s.cost() * (0.5 + loop.random.nextDouble())));
         handleAtEntry(
                 e,
@@ -182,28 +182,28 @@
     }
 
     private void deliverToGate(int e, DispatchAction.SendAttempt s) {
-        CallerRequest a = openRequests.get(s.request());
+        CallerRequest callerRequest = openRequests.get(s.request());
         long number = nextNumber++;
         attemptByNumber.put(number, s.attempt());
         entryByNumber.put(number, e);
-        TrafficSource src = a.source();
-        QueuedRequest w = new QueuedRequest(
+        TrafficSource source = callerRequest.source();
+        QueuedRequest queued = new QueuedRequest(
                 number,
-                baseline ? Urgency.LIVE : src.urgency(),
-                baseline ? "all" : src.team(),
-                src.cost(),
+                baseline ? Urgency.LIVE : source.urgency(),
+                baseline ? "all" : source.team(),
+                source.cost(),
                 loop.now() + s.remaining().toNanos());
-        GateRequest r = new GateRequest(w, true, Optional.empty(), Long.MAX_VALUE / 2);
-        gateRequests.put(number, r);
+        GateRequest gateRequest = new GateRequest(queued, true, Optional.empty(), Long.MAX_VALUE / 2);
+        gateRequests.put(number, gateRequest);
         requestByAttempt.put(e + "-" + s.attempt(), s.request());
-        handleAtGate(s.upstream().port(), new GateEvent.AttemptArrived(r));
+        handleAtGate(s.upstream().port(), new GateEvent.AttemptArrived(gateRequest));
     }
 
     private void handleAtGate(int i, GateEvent event) {
         for (GateAction a : gates.get(i).handle(event, loop.now(), loop.epochMillis())) {
             switch (a) {
                 case GateAction.StartCall s -> {
-                    int cost = gateRequests.get(s.id()).waiting().cost();
+                    int cost = gateRequests.get(s.id()).queued().cost();
                     long nanos = (long) (cost * (0.5 + loop.random.nextDouble()) * EventLoop.MILLI);
                     loop.schedule(
                             nanos,
@@ -215,10 +215,10 @@
                 case GateAction.EndAttempt end -> {
                     long attempt = attemptByNumber.remove(end.id());
                     int e = entryByNumber.remove(end.id());
-                    GateRequest r = gateRequests.remove(end.id());
+                    GateRequest gateRequest = gateRequests.remove(end.id());
                     SidecarReport load = gates.get(i).report();
                     if (end.verdict() instanceof Verdict.Completed) {
-                        recordCostServed(e, attempt, r);
+                        recordCostServed(e, attempt, gateRequest);
                     }
                     loop.schedule(NETWORK_DELAY, () -> {
                         handleAtEntry(e, new DispatchEvent.AnswerHead(attempt, 200, ""));
@@ -233,30 +233,35 @@
         }
     }
 
-    private void recordCostServed(int e, long attempt, GateRequest r) {
-        CallerRequest a = openRequests.get(requestByAttempt.remove(e + "-" + attempt));
+    private void recordCostServed(int e, long attempt, GateRequest gateRequest) {
+        CallerRequest callerRequest = openRequests.get(requestByAttempt.remove(e + "-" + attempt));
         if (loop.now() >= warmUpNanos) {
-            outcomes.get(a.source()).costServed += r.waiting().cost();
+            outcomes.get(callerRequest.source()).costServed +=
+                    gateRequest.queued().cost();
         }
     }
 
     private void recordCompletion(long request) {
-        CallerRequest a = openRequests.remove(request);
-        if (a.firstSubmittedNanos() < warmUpNanos) {
+        CallerRequest callerRequest = openRequests.remove(request);
+        if (callerRequest.firstSubmittedNanos() < warmUpNanos) {
             return;
         }
-        long millis = (loop.now() - a.firstSubmittedNanos()) / EventLoop.MILLI;
-        Outcome o = outcomes.get(a.source());
+        long millis = (loop.now() - callerRequest.firstSubmittedNanos()) / EventLoop.MILLI;
+        Outcome o = outcomes.get(callerRequest.source());
         o.latencies.add(millis);
-        o.withinTarget += millis <= a.source().targetMillis() ? 1 : 0;
+        o.withinTarget += millis <= callerRequest.source().targetMillis() ? 1 : 0;
     }
 
     private void handleRefusal(long request, Verdict verdict) {
-        CallerRequest a = openRequests.remove(request);
-        if (a.submissions() < MAX_SUBMISSIONS && verdict instanceof Verdict.NotRun n) {
+        CallerRequest callerRequest = openRequests.remove(request);
+        if (callerRequest.submissions() < MAX_SUBMISSIONS && verdict instanceof Verdict.NotRun n) {
             long wait = Math.max(EventLoop.SECOND, n.retryAfter().toNanos());
             loop.schedule(
-                    wait, () -> submit(new CallerRequest(a.source(), a.firstSubmittedNanos(), a.submissions() + 1)));
+                    wait,
+                    () -> submit(new CallerRequest(
+                            callerRequest.source(),
+                            callerRequest.firstSubmittedNanos(),
+                            callerRequest.submissions() + 1)));
         }
     }
 
