--- a/core/src/main/java/org/citrontide/core/claim/ClaimAction.java
+++ b/core/src/main/java/org/citrontide/core/claim/ClaimAction.java
@@ -15,7 +15,7 @@
     record ReadBucket(int bucket) implements ClaimAction {}
 
     /**
-     * Writes a bucket by compare-and-swap.
+     * Writes a bucket by compare-and-set.
      *
      * @param bucket number of the bucket
      * @param expectedRevision revision that the bucket must have, 0 if it must not exist
--- a/core/src/main/java/org/citrontide/core/claim/ClaimEvent.java
+++ b/core/src/main/java/org/citrontide/core/claim/ClaimEvent.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** An input event of a {@link ClaimLedger}. Immutable. */
+/** An event that a {@link ClaimLedger} handles. Immutable. */
 public sealed interface ClaimEvent {
 
     /**
@@ -62,6 +62,6 @@
      */
     record BucketFailed(int bucket, boolean mayHaveTakenEffect) implements ClaimEvent {}
 
-    /** Time advanced. */
+    /** Time advanced; requests may have expired. */
     record Tick() implements ClaimEvent {}
 }
--- a/core/src/main/java/org/citrontide/core/claim/StoredResponse.java
+++ b/core/src/main/java/org/citrontide/core/claim/StoredResponse.java
@@ -1,7 +1,7 @@
 package org.citrontide.core.claim;
 
 /**
- * A complete response kept for requests that repeat the same key. Immutable; the array must not be changed.
+ * A complete response kept for later requests with the same key. Immutable; the array must not be changed.
  *
  * @param status HTTP status
  * @param contentType media type, empty if unknown
--- a/core/src/main/java/org/citrontide/core/dispatch/DispatchEvent.java
+++ b/core/src/main/java/org/citrontide/core/dispatch/DispatchEvent.java
@@ -95,6 +95,6 @@
      */
     record ConfigurationChanged(Configuration configuration) implements DispatchEvent {}
 
-    /** The periodic check of deadlines is due. */
+    /** Time advanced; requests may have expired. */
     record Tick() implements DispatchEvent {}
 }
--- a/core/src/main/java/org/citrontide/core/expertmap/ExpertMap.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/ExpertMap.java
@@ -58,7 +58,7 @@
      * Returns the time of a step on the slowest rank.
      *
      * @param loads loads of the experts and speeds of the ranks
-     * @return time in units of a healthy rank's time for one token
+     * @return time in units of the time that a healthy rank needs for one unit of load
      */
     public double stepTime(RankLoads loads) {
         return Arrays.stream(rankTimes(loads)).max().orElse(0);
@@ -85,8 +85,8 @@
     private double[] rankTimes(RankLoads loads) {
         double[] rankTimes = new double[experts.length];
         for (int r = 0; r < experts.length; r++) {
-            for (int p = 0; p < experts[r].length; p++) {
-                rankTimes[r] += loads.expertLoads()[experts[r][p]] * shares[r][p];
+            for (int s = 0; s < experts[r].length; s++) {
+                rankTimes[r] += loads.expertLoads()[experts[r][s]] * shares[r][s];
             }
             rankTimes[r] /= loads.rankSpeeds()[r];
         }
--- a/core/src/main/java/org/citrontide/core/expertmap/GroupMap.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/GroupMap.java
@@ -66,7 +66,7 @@
      * Returns the expert time of a pass: the sum over the sets of the time on the most loaded rank.
      *
      * @param loads loads of each set
-     * @return time in units of a healthy rank's time for one token
+     * @return time in units of the time that a healthy rank needs for one unit of load
      */
     public double passTime(List<RankLoads> loads) {
         double time = 0;
--- a/core/src/main/java/org/citrontide/core/expertmap/MapAction.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/MapAction.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An action that {@link GroupMapController} requests from its shell. Immutable. */
+/** An action that a {@link GroupMapController} requests from its shell. Immutable. */
 public sealed interface MapAction {
 
     /**
--- a/core/src/main/java/org/citrontide/core/expertmap/MapEvent.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/MapEvent.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** An event that {@link GroupMapController} handles. Immutable; arrays must not be modified. */
+/** An event that a {@link GroupMapController} handles. Immutable; arrays must not be modified. */
 public sealed interface MapEvent {
 
     /**
--- a/core/src/main/java/org/citrontide/core/expertmap/RankAction.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RankAction.java
@@ -1,7 +1,7 @@
 package org.citrontide.core.expertmap;
 
 /**
- * An action that {@link RankCommitProtocol} requests from its shell, which performs those of a transition in order.
+ * An action that a {@link RankCommitProtocol} requests from its shell, which performs those of a transition in order.
  * Immutable.
  */
 public sealed interface RankAction {
--- a/core/src/main/java/org/citrontide/core/expertmap/RankEvent.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RankEvent.java
@@ -1,6 +1,6 @@
 package org.citrontide.core.expertmap;
 
-/** An event that {@link RankCommitProtocol} handles. Immutable. */
+/** An event that a {@link RankCommitProtocol} handles. Immutable. */
 public sealed interface RankEvent {
 
     /**
--- a/core/src/main/java/org/citrontide/core/expertmap/RankLoads.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RankLoads.java
@@ -3,16 +3,16 @@
 import java.util.Arrays;
 
 /**
- * Measured expert loads and rank speeds of a group, as input for planning. The arrays must not be changed.
+ * Expert loads and rank speeds of a group, as input for planning. The arrays must not be changed.
  *
- * @param expertLoads tokens routed to each expert in the last interval
+ * @param expertLoads load of each expert: the number of its tokens, or its share of all tokens
  * @param rankSpeeds speed of each rank relative to a healthy rank, which has 1
  * @param slotsPerRank maximum number of experts on one rank
  */
 public record RankLoads(double[] expertLoads, double[] rankSpeeds, int slotsPerRank) {
 
     /**
-     * Checks that the ranks have a slot for each expert.
+     * Checks that the ranks have a slot for each expert and positive speeds.
      *
      * @throws IllegalArgumentException if there are more experts than slots, or a speed is not positive
      */
--- a/core/src/main/java/org/citrontide/core/gate/GateEvent.java
+++ b/core/src/main/java/org/citrontide/core/gate/GateEvent.java
@@ -45,6 +45,6 @@
     /** The process is shutting down; the gate must drain. */
     record DrainRequested() implements GateEvent {}
 
-    /** The periodic check of deadlines is due. */
+    /** Time advanced; requests may have expired. */
     record Tick() implements GateEvent {}
 }
--- a/core/src/main/java/org/citrontide/core/gateway/GatewayEvent.java
+++ b/core/src/main/java/org/citrontide/core/gateway/GatewayEvent.java
@@ -4,7 +4,7 @@
 
 import org.citrontide.core.routes.ListedUpstream;
 
-/** An input event of a {@link GatewayDispatcher}. Immutable. */
+/** An event that a {@link GatewayDispatcher} handles. Immutable. */
 public sealed interface GatewayEvent {
 
     /**
--- a/core/src/main/java/org/citrontide/core/membership/UpstreamSubset.java
+++ b/core/src/main/java/org/citrontide/core/membership/UpstreamSubset.java
@@ -11,8 +11,8 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Selects the subset of upstreams that one entry keeps links to, because links to all of them would exceed the cost
- * allowed for control.
+ * Selects the subset of upstreams that one entry keeps links to, because links to all of them would cost more
+ * than is allowed for control traffic.
  *
  * <p>Each service gets an equal share of the links, and at least {@value #MIN_LINKS_PER_SERVICE}. Three quarters of the
  * links of a service go to upstreams in the entry's own zone. Within a zone, the upstreams with the highest
--- a/core/src/main/java/org/citrontide/core/membership/WatcherSelector.java
+++ b/core/src/main/java/org/citrontide/core/membership/WatcherSelector.java
@@ -6,7 +6,7 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Selects the processes of a zone that watch the platform's service on behalf of all others.
+ * Selects the processes of a zone that watch the platform's store on behalf of all others.
  *
  * <p>Every process computes the same selection from the same list. While lists differ, there may be one watcher too
  * many or too few, which costs only additional calls or a delay of seconds. Stateless and safe for use by multiple
--- a/core/src/main/java/org/citrontide/core/publication/ConfigurationSyncEvent.java
+++ b/core/src/main/java/org/citrontide/core/publication/ConfigurationSyncEvent.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Map;
 
-/** An input event of a {@link ConfigurationSyncController}. Immutable. */
+/** An event that a {@link ConfigurationSyncController} handles. Immutable. */
 public sealed interface ConfigurationSyncEvent {
 
     /**
--- a/core/src/main/java/org/citrontide/core/publication/PublicationAction.java
+++ b/core/src/main/java/org/citrontide/core/publication/PublicationAction.java
@@ -28,7 +28,7 @@
     record WriteFile(String hash, String text) implements PublicationAction {}
 
     /**
-     * Replaces the head by compare-and-swap.
+     * Replaces the head by compare-and-set.
      *
      * @param expectedRevision revision that the head must have, 0 if it must not exist
      * @param head the new head
--- a/core/src/main/java/org/citrontide/core/publication/PublicationEvent.java
+++ b/core/src/main/java/org/citrontide/core/publication/PublicationEvent.java
@@ -1,6 +1,6 @@
 package org.citrontide.core.publication;
 
-/** An input event of a {@link PublicationStateMachine}. Immutable. */
+/** An event that a {@link PublicationStateMachine} handles. Immutable. */
 public sealed interface PublicationEvent {
 
     /**
--- a/core/src/main/java/org/citrontide/core/routing/Router.java
+++ b/core/src/main/java/org/citrontide/core/routing/Router.java
@@ -20,7 +20,7 @@
  * zone is preferred: another zone is used only if the own zone has no upstream left, or if the better of two random
  * upstreams has a load above {@value #SPILL_LOAD} per slot in the own zone and at most half of that load in the other
  * zones. Requests with an idempotency key go to the upstream with the highest rendezvous hash of the key's bucket, so
- * that repeated requests reach the same upstream. Not thread-safe; the source of randomness is passed in.
+ * that requests with the same key reach the same upstream. Not thread-safe; the source of randomness is passed in.
  */
 public final class Router {
     private static final double SPILL_LOAD = 2.0;
--- a/core/src/main/java/org/citrontide/core/verdict/Reason.java
+++ b/core/src/main/java/org/citrontide/core/verdict/Reason.java
@@ -25,7 +25,7 @@
     DRAINING(503),
     /** The process has not loaded a configuration yet. */
     NOT_READY(503),
-    /** The platform's key-value service is unreachable, and the call must not run without a claim. */
+    /** The platform's store is unreachable, and the call must not run without a claim. */
     STORE_UNREACHABLE(503),
     /** The connection to the upstream could not be established. */
     UPSTREAM_UNREACHABLE(503),
