--- a/core/src/test/java/org/citrontide/core/claim/ClaimLedgerTest.java
+++ b/core/src/test/java/org/citrontide/core/claim/ClaimLedgerTest.java
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void repeatedKeyGetsTheCachedResponse() {
+    void retryWithTheSameKeyGetsTheCachedResponse() {
         requestClaim(1, KEY);
         readBucket(0, List.of());
         handle(new ClaimEvent.BucketWritten(BUCKET, 1));
--- a/core/src/test/java/org/citrontide/core/expertmap/PlacementImproverTest.java
+++ b/core/src/test/java/org/citrontide/core/expertmap/PlacementImproverTest.java
@@ -19,7 +19,7 @@
     private static final double MIN_GAIN = 0.001;
 
     @Test
-    void roundsOfFewNewExpertsReduceTheSkewOfAGroup() {
+    void repeatedSearchesReduceTheSkewDespiteTheLimitOfNewExperts() {
         for (long seed = 1; seed <= 30; seed++) {
             RankLoads loads = loads(seed);
             ExpertMap map = GroupMap.initial(1, EXPERTS, RANKS).sets().getFirst();
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void everyExpertStaysPlacedAndNoRankExceedsItsNewExperts() {
+    void everyExpertStaysOnARankAndNoRankExceedsItsLimitOfNewExperts() {
         for (long seed = 1; seed <= 30; seed++) {
             ExpertMap from = GroupMap.initial(1, EXPERTS, RANKS).sets().getFirst();
             ExpertMap to = new PlacementImprover(from, loads(seed), NEW_PER_RANK).improve(SEARCH_STEPS, MIN_GAIN);
--- a/core/src/test/java/org/citrontide/core/faults/PolicyTest.java
+++ b/core/src/test/java/org/citrontide/core/faults/PolicyTest.java
@@ -10,7 +10,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * Measures the scheduling policy under overload and with large callers, compares it with a baseline without classes and
+ * Measures the scheduling policy under overload and with large teams, compares it with a baseline without classes and
  * teams on the same seeds, and checks the targets.
  */
 final class PolicyTest {
@@ -37,7 +37,9 @@
                 run(true, LIVE, DAILY, flood).outcomes.get(LIVE);
         print("overnight-flood live", normal, overloaded, baseline);
         assertAll(
-                () -> assertTrue(overloaded.goodput() >= 0.99 * normal.goodput(), "goodput " + overloaded.goodput()),
+                () -> assertTrue(
+                        overloaded.goodput() >= 0.99 * normal.goodput(),
+                        "goodput under overload: " + overloaded.goodput()),
                 () -> assertTrue(
                         overloaded.p99() <= 1.2 * normal.p99(),
                         overloaded.p99() + " ms p99 under overload, in ms under normal load: " + normal.p99()));
@@ -48,14 +50,16 @@
         PolicySimulation.TrafficSource flood = source("farmers", Urgency.LIVE, 5, 200, 1800);
         PolicySimulation.TrafficSource daily = source("summary", Urgency.DAILY, 1, 600, 60_000);
         PolicySimulation.TrafficSource overnight = source("ledger", Urgency.OVERNIGHT, 1, 1500, 60_000);
-        PolicySimulation w = run(false, flood, daily, overnight);
-        double all = w.outcomes.values().stream().mapToLong(o -> o.costServed).sum();
-        double dailyShare = w.outcomes.get(daily).costServed / all;
-        double overnightShare = w.outcomes.get(overnight).costServed / all;
+        PolicySimulation simulation = run(false, flood, daily, overnight);
+        double all = simulation.outcomes.values().stream()
+                .mapToLong(o -> o.costServed)
+                .sum();
+        double dailyShare = simulation.outcomes.get(daily).costServed / all;
+        double overnightShare = simulation.outcomes.get(overnight).costServed / all;
         System.out.printf("policy live-flood daily-share=%.3f overnight-share=%.3f%n", dailyShare, overnightShare);
         assertAll(
-                () -> assertTrue(dailyShare >= 0.95 * 0.15, "daily " + dailyShare),
-                () -> assertTrue(overnightShare >= 0.95 * 0.05, "overnight " + overnightShare));
+                () -> assertTrue(dailyShare >= 0.95 * 0.15, "share of the daily class: " + dailyShare),
+                () -> assertTrue(overnightShare >= 0.95 * 0.05, "share of the overnight class: " + overnightShare));
     }
 
     @Test
@@ -74,27 +78,27 @@
                 "policy large-callers small-teams-goodput=%.3f plain=%.3f jain=%.3f plain=%.3f%n",
                 worst, worstSmall(baseline, sources), jain(fair, sources), jain(baseline, sources));
         assertAll(
-                () -> assertTrue(worst >= 0.99, "worst small team " + worst),
-                () -> assertTrue(jain(fair, sources) >= 0.95, "Jain " + jain(fair, sources)));
+                () -> assertTrue(worst >= 0.99, "lowest goodput of a small team: " + worst),
+                () -> assertTrue(jain(fair, sources) >= 0.95, "Jain's fairness index: " + jain(fair, sources)));
     }
 
-    private static double worstSmall(PolicySimulation w, List<PolicySimulation.TrafficSource> sources) {
+    private static double worstSmall(PolicySimulation simulation, List<PolicySimulation.TrafficSource> sources) {
         return sources.stream()
                 .filter(s -> s.team().startsWith("small"))
-                .mapToDouble(s -> w.outcomes.get(s).goodput())
+                .mapToDouble(s -> simulation.outcomes.get(s).goodput())
                 .min()
                 .orElseThrow();
     }
 
     /** Jain's fairness index of cost served relative to the amount due: the lesser of demand and fair share. */
-    private static double jain(PolicySimulation w, List<PolicySimulation.TrafficSource> sources) {
+    private static double jain(PolicySimulation simulation, List<PolicySimulation.TrafficSource> sources) {
         double small = 0.05 * 7;
         double largeShare = (1 - small) / 3;
         double sum = 0;
         double squares = 0;
         for (PolicySimulation.TrafficSource s : sources) {
             double due = (s.team().startsWith("small") ? 0.05 : largeShare) * CAPACITY * SECONDS;
-            double x = Math.min(1, w.outcomes.get(s).costServed / due);
+            double x = Math.min(1, simulation.outcomes.get(s).costServed / due);
             sum += x;
             squares += x * x;
         }
@@ -102,9 +106,9 @@
     }
 
     private static PolicySimulation run(boolean baseline, PolicySimulation.TrafficSource... sources) {
-        PolicySimulation w = new PolicySimulation(SEED, baseline, WARM_UP);
-        w.run(List.of(sources), SECONDS);
-        return w;
+        PolicySimulation simulation = new PolicySimulation(SEED, baseline, WARM_UP);
+        simulation.run(List.of(sources), SECONDS);
+        return simulation;
     }
 
     /** Creates a source whose demand is the given fraction of the capacity. */
--- a/core/src/test/java/org/citrontide/core/gateway/CallerWaitEstimatorTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/CallerWaitEstimatorTest.java
@@ -12,7 +12,7 @@
     private final CallerWaitEstimator estimator = new CallerWaitEstimator();
 
     @Test
-    void aRetryHasWaited() {
+    void aRequestWithLessTimeRemainingIsEstimatedToHaveWaited() {
         assertEquals(Duration.ZERO, estimator.estimateWait("r", Duration.ofMillis(8000)));
         assertEquals(Duration.ZERO, estimator.estimateWait("r", Duration.ofMillis(7950)));
         long waited = estimator.estimateWait("r", Duration.ofMillis(5300)).toMillis();
--- a/core/src/test/java/org/citrontide/core/gateway/GroupOutageLoadTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/GroupOutageLoadTest.java
@@ -48,7 +48,7 @@
     private static final int TARGET_MS = 400;
 
     @Test
-    void mostCallersOfAnOutageAreServedAndMostAfterItOnTime() {
+    void mostRequestsOfAnOutageAreServedAndMostAfterItAreOnTime() {
         for (int seed = 1; seed <= 5; seed++) {
             Simulation simulation = new Simulation(seed);
             simulation.simulate();
