--- a/core/src/main/java/org/citrontide/core/expertmap/RankAction.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RankAction.java
@@ -18,7 +18,7 @@
      *
      * @param state the state
      */
-    record Persist(RankState state) implements RankAction {}
+    record PersistState(RankState state) implements RankAction {}
 
     /**
      * Sends the vote of this rank to the requester and to all other ranks.
--- a/core/src/main/java/org/citrontide/core/expertmap/RankCommitProtocol.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RankCommitProtocol.java
@@ -74,7 +74,7 @@
                 accepted ? Optional.of(new RankState.PendingVote(proposal, Set.of(state.rank()))) : Optional.empty();
         RankState next = state.withVote(proposal.map(), pendingVote);
         return new Transition(
-                next, List.of(new RankAction.Persist(next), new RankAction.SendVote(proposal.map(), accepted)));
+                next, List.of(new RankAction.PersistState(next), new RankAction.SendVote(proposal.map(), accepted)));
     }
 
     private static boolean isAcceptable(RankState state, MapProposal proposal) {
@@ -114,7 +114,7 @@
             return persist(state.withPermittedStep(requestedStep));
         }
         RankState next = state.withPermittedStep(limit);
-        return new Transition(next, List.of(new RankAction.Persist(next), new RankAction.RequestVotes(proposal)));
+        return new Transition(next, List.of(new RankAction.PersistState(next), new RankAction.RequestVotes(proposal)));
     }
 
     private static Transition unchanged(RankState state) {
@@ -122,7 +122,7 @@
     }
 
     private static Transition persist(RankState state) {
-        return new Transition(state, List.of(new RankAction.Persist(state)));
+        return new Transition(state, List.of(new RankAction.PersistState(state)));
     }
 
     /**
--- a/core/src/main/java/org/citrontide/core/gateway/AdmissionQueue.java
+++ b/core/src/main/java/org/citrontide/core/gateway/AdmissionQueue.java
@@ -12,10 +12,10 @@
  * after the recovery while its slots are reserved for requests that can still be on time.
  *
  * <p>Handles outages of a group of one or several seconds under a constant arrival rate, and the backlog of late
- * requests after the recovery. A request waits no longer than its caller is certain to wait; then it is refused, so that the
- * caller can retry. While the group is down, only one request per interval probes it, because a rejected probe counts
- * as a retry when it is sent again. After the recovery the number of late requests whose response has not started is
- * limited, so that slots remain free for other requests.
+ * requests after the recovery. A request waits no longer than its caller is certain to wait; then it is refused, so
+ * that the caller can retry. While the group is down, only one request per interval probes it, because a rejected probe
+ * counts as a retry when it is sent again. After the recovery the number of late requests whose response has not
+ * started is limited, so that slots remain free for other requests.
  *
  * <p>Invariant: a waiting request has no attempt in flight. Not thread-safe: confined to the dispatcher's thread.
  */
--- a/core/src/main/java/org/citrontide/core/gateway/GatewayAction.java
+++ b/core/src/main/java/org/citrontide/core/gateway/GatewayAction.java
@@ -18,7 +18,8 @@
      * @param remaining time remaining until the deadline of the request
      * @param admissionRank rank in the admission order of the upstream, 0 first
      */
-    record Send(GatewayRequest request, long attempt, ListedUpstream upstream, Duration remaining, int admissionRank)
+    record SendAttempt(
+            GatewayRequest request, long attempt, ListedUpstream upstream, Duration remaining, int admissionRank)
             implements GatewayAction {}
 
     /**
@@ -26,7 +27,7 @@
      *
      * @param attempt number of the attempt
      */
-    record Cancel(long attempt) implements GatewayAction {}
+    record CancelAttempt(long attempt) implements GatewayAction {}
 
     /**
      * Sends the response of an attempt, which the shell holds, to the caller.
@@ -34,7 +35,7 @@
      * @param request number of the request
      * @param attempt number of the attempt
      */
-    record Deliver(long request, long attempt) implements GatewayAction {}
+    record DeliverResponse(long request, long attempt) implements GatewayAction {}
 
     /**
      * Refuses a request whose response has not started.
@@ -42,7 +43,7 @@
      * @param request number of the request
      * @param verdict outcome of the request
      */
-    record Refuse(long request, Verdict verdict) implements GatewayAction {}
+    record RefuseRequest(long request, Verdict verdict) implements GatewayAction {}
 
     /**
      * Aborts a response that has started, in such a way that the caller can't mistake it for a complete one.
@@ -72,5 +73,5 @@
      * @param isDown whether the group is down
      * @param waiting number of requests that wait for the group
      */
-    record GroupStateChanged(String service, boolean isDown, int waiting) implements GatewayAction {}
+    record ReportGroupState(String service, boolean isDown, int waiting) implements GatewayAction {}
 }
--- a/core/src/main/java/org/citrontide/core/gateway/GatewayDispatcher.java
+++ b/core/src/main/java/org/citrontide/core/gateway/GatewayDispatcher.java
@@ -21,8 +21,8 @@
  * <p>Invariants:
  *
  * <ul>
- *   <li>Each request ends in exactly one of {@link GatewayAction.Deliver}, {@link GatewayAction.Refuse} and {@link
- *       GatewayAction.AbortResponse}, unless its caller disconnected; no later action refers to it.
+ *   <li>Each request ends in exactly one of {@link GatewayAction.DeliverResponse}, {@link GatewayAction.RefuseRequest}
+ *       and {@link GatewayAction.AbortResponse}, unless its caller disconnected; no later action refers to it.
  *   <li>A request ends in {@link Verdict.NotRun} only if each of its attempts certainly did not run.
  *   <li>A request that must run at most once gets another attempt only if all earlier ones certainly did not run.
  *   <li>A request reaches at most as many upstreams as its route allows, and retries stay within the retry budget.
@@ -187,7 +187,7 @@
             byAttempt.put(number, open);
             upstream.recordAttemptSent();
             queue(open).recordSent(open.attempt.get(), request, nowNanos);
-            actions.add(new GatewayAction.Send(
+            actions.add(new GatewayAction.SendAttempt(
                     request, number, upstream.entry(), remaining, request.admissionRank(nowNanos)));
         }
 
@@ -270,7 +270,7 @@
 
         private void reportGroupState(String service) {
             AdmissionQueue queue = queue(service);
-            actions.add(new GatewayAction.GroupStateChanged(service, queue.isDown(), queue.size()));
+            actions.add(new GatewayAction.ReportGroupState(service, queue.isDown(), queue.size()));
         }
 
         private void recordOutcome(OpenGatewayRequest.Attempt attempt, AttemptOutcome outcome) {
@@ -372,7 +372,7 @@
 
         private void deliver(OpenGatewayRequest open, OpenGatewayRequest.Attempt attempt) {
             close(open);
-            actions.add(new GatewayAction.Deliver(open.request.id(), attempt.number));
+            actions.add(new GatewayAction.DeliverResponse(open.request.id(), attempt.number));
         }
 
         private void fail(OpenGatewayRequest open, Reason reason) {
@@ -383,7 +383,7 @@
             actions.add(
                     open.isResponseStarted
                             ? new GatewayAction.AbortResponse(open.request.id(), verdict)
-                            : new GatewayAction.Refuse(open.request.id(), verdict));
+                            : new GatewayAction.RefuseRequest(open.request.id(), verdict));
         }
 
         private void close(OpenGatewayRequest open) {
@@ -394,7 +394,7 @@
                 byAttempt.remove(attempt.number);
                 attempt.upstream.recordAttemptEnded();
                 queue(open).recordSettled(attempt);
-                actions.add(new GatewayAction.Cancel(attempt.number));
+                actions.add(new GatewayAction.CancelAttempt(attempt.number));
             });
             open.attempt = Optional.empty();
         }
@@ -447,7 +447,7 @@
             queue(open).recordSettled(attempt);
             open.attempt = Optional.empty();
             open.mayHaveRunReason = Optional.of(Reason.CONNECTION_LOST);
-            actions.add(new GatewayAction.Cancel(attempt.number));
+            actions.add(new GatewayAction.CancelAttempt(attempt.number));
             send(open, Reason.CONNECTION_LOST);
         }
 
--- a/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherFaultTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherFaultTest.java
@@ -95,7 +95,8 @@
                 if (nowMs % 50 == 0) {
                     handle(new GatewayEvent.Tick());
                     requests.values()
-                            .forEach(a -> assertTrue(a.ended || a.deadlineMs > nowMs, "open past its deadline"));
+                            .forEach(tracked ->
+                                    assertTrue(tracked.ended || tracked.deadlineMs > nowMs, "open past its deadline"));
                 }
             }
         }
@@ -173,14 +174,14 @@
                 return;
             }
             attempts.remove(s.attempt());
-            TrackedRequest a = requests.get(s.request());
-            a.inFlight--;
+            TrackedRequest tracked = requests.get(s.request());
+            tracked.inFlight--;
             AttemptOutcome outcome = outcome();
             if (outcome instanceof AttemptOutcome.Broken || outcome instanceof AttemptOutcome.Failed) {
-                a.mayHaveRun = true;
+                tracked.mayHaveRun = true;
             }
             if (outcome instanceof AttemptOutcome.Unreached) {
-                a.reached.remove(s.upstream());
+                tracked.reached.remove(s.upstream());
             }
             handle(new GatewayEvent.AttemptEnded(s.attempt(), outcome));
         }
@@ -204,29 +205,29 @@
         private void handle(GatewayEvent event) {
             for (GatewayAction action : dispatcher.handle(event, nowMs * MS)) {
                 switch (action) {
-                    case GatewayAction.Send s -> checkSent(s);
-                    case GatewayAction.Cancel c -> recordCancel(c.attempt());
-                    case GatewayAction.Deliver d -> checkEnd(d.request());
+                    case GatewayAction.SendAttempt s -> checkSent(s);
+                    case GatewayAction.CancelAttempt c -> recordCancel(c.attempt());
+                    case GatewayAction.DeliverResponse d -> checkEnd(d.request());
                     case GatewayAction.AbortResponse b -> checkEnd(b.request());
-                    case GatewayAction.Refuse r -> checkRefusal(r);
+                    case GatewayAction.RefuseRequest r -> checkRefusal(r);
                     case GatewayAction.QuerySpeeds a -> a.upstreams().forEach(u -> reportSpeed(u.id()));
-                    case GatewayAction.GroupStateChanged n -> groupStateChanges++;
+                    case GatewayAction.ReportGroupState n -> groupStateChanges++;
                 }
             }
         }
 
-        private void checkSent(GatewayAction.Send s) {
-            TrackedRequest a = requests.get(s.request().id());
-            assertFalse(a.ended, "sent after its final outcome");
-            assertEquals(0, a.inFlight, "two attempts in flight");
+        private void checkSent(GatewayAction.SendAttempt s) {
+            TrackedRequest tracked = requests.get(s.request().id());
+            assertFalse(tracked.ended, "sent after its final outcome");
+            assertEquals(0, tracked.inFlight, "two attempts in flight");
             assertTrue(usable.contains(s.upstream().id()), "sent to an upstream that accepts no requests");
             assertFalse(
-                    a.retrySafety == Route.RetrySafety.AT_MOST_ONCE && a.mayHaveRun,
+                    tracked.retrySafety == Route.RetrySafety.AT_MOST_ONCE && tracked.mayHaveRun,
                     "retried an at-most-once request that may have run");
-            retried += a.reached.isEmpty() ? 0 : 1;
-            a.reached.add(s.upstream().id());
-            assertTrue(a.reached.size() <= MAX_ATTEMPTS, "reached " + a.reached);
-            a.inFlight++;
+            retried += tracked.reached.isEmpty() ? 0 : 1;
+            tracked.reached.add(s.upstream().id());
+            assertTrue(tracked.reached.size() <= MAX_ATTEMPTS, "reached " + tracked.reached);
+            tracked.inFlight++;
             attempts.put(
                     s.attempt(),
                     new SentAttempt(s.attempt(), s.request().id(), s.upstream().id()));
@@ -238,21 +239,22 @@
             requests.get(s.request()).mayHaveRun = true;
         }
 
-        private void checkRefusal(GatewayAction.Refuse r) {
-            TrackedRequest a = requests.get(r.request());
+        private void checkRefusal(GatewayAction.RefuseRequest r) {
+            TrackedRequest tracked = requests.get(r.request());
             if (r.verdict() instanceof Verdict.NotRun n) {
-                assertFalse(a.mayHaveRun, "NotRun verdict for a request that may have run");
-                assertTrue(n.retryAfter().toMillis() <= Math.max(0, a.deadlineMs - nowMs) / 2, "" + n.retryAfter());
+                assertFalse(tracked.mayHaveRun, "NotRun verdict for a request that may have run");
+                assertTrue(
+                        n.retryAfter().toMillis() <= Math.max(0, tracked.deadlineMs - nowMs) / 2, "" + n.retryAfter());
             }
             refused++;
             checkEnd(r.request());
         }
 
         private void checkEnd(long id) {
-            TrackedRequest a = requests.get(id);
-            assertFalse(a.ended, "second final outcome");
-            assertEquals(0, a.inFlight, "ended with an attempt in flight");
-            a.ended = true;
+            TrackedRequest tracked = requests.get(id);
+            assertFalse(tracked.ended, "second final outcome");
+            assertEquals(0, tracked.inFlight, "ended with an attempt in flight");
+            tracked.ended = true;
         }
     }
 }
--- a/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/GatewayDispatcherTest.java
@@ -25,7 +25,7 @@
             new AttemptOutcome.Rejected(AttemptOutcome.Rejected.Cause.FULL, Optional.empty());
     private static final AttemptOutcome GROUP_BROKEN =
             new AttemptOutcome.Rejected(AttemptOutcome.Rejected.Cause.GROUP_BROKEN, Optional.empty());
-    private static final GatewayAction DOWN = new GatewayAction.GroupStateChanged("s", true, 0);
+    private static final GatewayAction DOWN = new GatewayAction.ReportGroupState("s", true, 0);
     private static final AttemptOutcome BROKEN = new AttemptOutcome.Broken(Reason.CONNECTION_LOST);
 
     private final GatewayDispatcher dispatcher = new GatewayDispatcher(
@@ -44,69 +44,70 @@
 
     @Test
     void anAtMostOnceRequestIsNotRetriedAfterItMayHaveRun() {
-        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
+        GatewayAction.SendAttempt first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
         GatewayAction end = only(end(first, BROKEN));
-        Verdict v = assertInstanceOf(GatewayAction.Refuse.class, end).verdict();
+        Verdict v = assertInstanceOf(GatewayAction.RefuseRequest.class, end).verdict();
         assertEquals(new Verdict.MayHaveRun(Reason.CONNECTION_LOST), v);
     }
 
     @Test
     void anAtMostOnceRequestIsRetriedElsewhereAfterARejection() {
-        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
-        GatewayAction.Send second = send(end(first, FULL));
+        GatewayAction.SendAttempt first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
+        GatewayAction.SendAttempt second = send(end(first, FULL));
         assertNotEquals(first.upstream().id(), second.upstream().id());
         GatewayAction end = only(end(second, FULL));
         assertInstanceOf(
                 Verdict.NotRun.class,
-                assertInstanceOf(GatewayAction.Refuse.class, end).verdict());
+                assertInstanceOf(GatewayAction.RefuseRequest.class, end).verdict());
     }
 
     @Test
     void aNotRunVerdictNeverFollowsAnAttemptThatMayHaveRun() {
-        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.IDEMPOTENT));
-        GatewayAction.Send second = send(end(first, BROKEN));
+        GatewayAction.SendAttempt first = send(arrive(1, Route.RetrySafety.IDEMPOTENT));
+        GatewayAction.SendAttempt second = send(end(first, BROKEN));
         GatewayAction end = only(end(second, FULL));
         assertInstanceOf(
                 Verdict.MayHaveRun.class,
-                assertInstanceOf(GatewayAction.Refuse.class, end).verdict());
+                assertInstanceOf(GatewayAction.RefuseRequest.class, end).verdict());
     }
 
     @Test
     void noRequestReachesMoreUpstreamsThanItsRouteAllows() {
-        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.IDEMPOTENT));
-        GatewayAction.Send second = send(end(first, BROKEN));
-        assertInstanceOf(GatewayAction.Refuse.class, only(end(second, BROKEN)));
+        GatewayAction.SendAttempt first = send(arrive(1, Route.RetrySafety.IDEMPOTENT));
+        GatewayAction.SendAttempt second = send(end(first, BROKEN));
+        assertInstanceOf(GatewayAction.RefuseRequest.class, only(end(second, BROKEN)));
     }
 
     @Test
     void anUnreachableUpstreamDoesNotCountAsAnAttempt() {
-        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
-        GatewayAction.Send second = send(end(first, new AttemptOutcome.Unreached()));
-        GatewayAction.Send third = send(end(second, new AttemptOutcome.Unreached()));
-        assertInstanceOf(GatewayAction.Deliver.class, only(end(third, new AttemptOutcome.Completed(200))));
+        GatewayAction.SendAttempt first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
+        GatewayAction.SendAttempt second = send(end(first, new AttemptOutcome.Unreached()));
+        GatewayAction.SendAttempt third = send(end(second, new AttemptOutcome.Unreached()));
+        assertInstanceOf(GatewayAction.DeliverResponse.class, only(end(third, new AttemptOutcome.Completed(200))));
     }
 
     @Test
     void anUpstreamFailureIsDeliveredIfTheRequestCannotBeRetried() {
-        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
-        assertInstanceOf(GatewayAction.Deliver.class, only(end(first, new AttemptOutcome.Failed(500))));
+        GatewayAction.SendAttempt first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
+        assertInstanceOf(GatewayAction.DeliverResponse.class, only(end(first, new AttemptOutcome.Failed(500))));
     }
 
     @Test
     void aBrokenStreamIsResumedOrElseAborted() {
-        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        GatewayAction.SendAttempt first = send(arrive(1, Route.RetrySafety.RESUMABLE));
         handle(new GatewayEvent.ResponseProgress(first.attempt(), true));
-        GatewayAction.Send second = send(end(first, BROKEN));
+        GatewayAction.SendAttempt second = send(end(first, BROKEN));
         assertInstanceOf(GatewayAction.AbortResponse.class, only(end(second, BROKEN)));
     }
 
     @Test
     void theDeadlineEndsARequestAndCancelsItsAttempt() {
-        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
+        GatewayAction.SendAttempt first = send(arrive(1, Route.RetrySafety.AT_MOST_ONCE));
         nowMs += 4000;
         List<GatewayAction> out = handle(new GatewayEvent.Tick());
-        assertEquals(new GatewayAction.Cancel(first.attempt()), out.getFirst());
-        Verdict v = assertInstanceOf(GatewayAction.Refuse.class, out.getLast()).verdict();
+        assertEquals(new GatewayAction.CancelAttempt(first.attempt()), out.getFirst());
+        Verdict v = assertInstanceOf(GatewayAction.RefuseRequest.class, out.getLast())
+                .verdict();
         assertEquals(new Verdict.MayHaveRun(Reason.DEADLINE), v);
         assertEquals(0, dispatcher.openRequests());
     }
@@ -125,18 +126,19 @@
     @Test
     void withoutUpstreamsARequestIsRefusedImmediatelyWithARetryDelay() {
         handle(new GatewayEvent.UpstreamsUpdated(List.of()));
-        GatewayAction.Refuse r =
-                assertInstanceOf(GatewayAction.Refuse.class, only(arrive(1, Route.RetrySafety.AT_MOST_ONCE)));
+        GatewayAction.RefuseRequest r =
+                assertInstanceOf(GatewayAction.RefuseRequest.class, only(arrive(1, Route.RetrySafety.AT_MOST_ONCE)));
         Verdict.NotRun v = assertInstanceOf(Verdict.NotRun.class, r.verdict());
         assertTrue(v.retryAfter().toMillis() > 0 && v.retryAfter().toMillis() <= 4000 / 3, "" + v.retryAfter());
     }
 
     @Test
     void aRejectionByABrokenGroupIsNotRetriedOnOtherMembers() {
-        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        GatewayAction.SendAttempt first = send(arrive(1, Route.RetrySafety.RESUMABLE));
         assertEquals(List.of(DOWN), end(first, GROUP_BROKEN), "the request waits for the group");
         nowMs += 1400;
-        GatewayAction.Refuse r = assertInstanceOf(GatewayAction.Refuse.class, only(handle(new GatewayEvent.Tick())));
+        GatewayAction.RefuseRequest r =
+                assertInstanceOf(GatewayAction.RefuseRequest.class, only(handle(new GatewayEvent.Tick())));
         assertInstanceOf(Verdict.NotRun.class, r.verdict());
         assertEquals(0, dispatcher.openRequests());
     }
@@ -149,7 +151,7 @@
             nowMs += 10;
             for (GatewayAction a : arrive(id, Route.RetrySafety.RESUMABLE)) {
                 sent++;
-                end(assertInstanceOf(GatewayAction.Send.class, a), GROUP_BROKEN);
+                end(assertInstanceOf(GatewayAction.SendAttempt.class, a), GROUP_BROKEN);
             }
         }
         assertTrue(sent >= 2 && sent <= 4, sent + " requests sent in a second");
@@ -159,27 +161,28 @@
     void waitingRequestsAreSentMostUrgentFirstWhenTheGroupRecovers() {
         end(send(arrive(1, Route.RetrySafety.RESUMABLE, 2)), GROUP_BROKEN);
         nowMs += 10;
-        GatewayAction.Send probe = send(arrive(2, Route.RetrySafety.RESUMABLE, 2));
+        GatewayAction.SendAttempt probe = send(arrive(2, Route.RetrySafety.RESUMABLE, 2));
         assertEquals(List.of(), arrive(3, Route.RetrySafety.RESUMABLE, 2));
         nowMs += 20;
         assertEquals(List.of(), arrive(4, Route.RetrySafety.RESUMABLE, 2));
         assertEquals(List.of(), arrive(5, Route.RetrySafety.RESUMABLE, 0));
         List<GatewayAction> out = handle(new GatewayEvent.ResponseProgress(probe.attempt(), true));
-        assertEquals(new GatewayAction.GroupStateChanged("s", false, 4), out.getFirst());
+        assertEquals(new GatewayAction.ReportGroupState("s", false, 4), out.getFirst());
         List<Long> order = out.stream()
                 .skip(1)
-                .map(a ->
-                        assertInstanceOf(GatewayAction.Send.class, a).request().id())
+                .map(a -> assertInstanceOf(GatewayAction.SendAttempt.class, a)
+                        .request()
+                        .id())
                 .toList();
         assertEquals(List.of(5L, 4L, 3L, 1L), order);
     }
 
     @Test
     void aMemberOfABrokenGroupIsAvoidedWhileOthersOfItsServiceRespond() {
-        GatewayAction.Send active = send(arrive(1, Route.RetrySafety.RESUMABLE));
-        GatewayAction.Send rejected = send(arrive(2, Route.RetrySafety.RESUMABLE));
+        GatewayAction.SendAttempt active = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        GatewayAction.SendAttempt rejected = send(arrive(2, Route.RetrySafety.RESUMABLE));
         handle(new GatewayEvent.ResponseProgress(active.attempt(), true));
-        GatewayAction.Send elsewhere = send(end(rejected, GROUP_BROKEN));
+        GatewayAction.SendAttempt elsewhere = send(end(rejected, GROUP_BROKEN));
         assertNotEquals(rejected.upstream().id(), elsewhere.upstream().id());
         for (int id = 3; id <= 8; id++) {
             assertNotEquals(
@@ -194,10 +197,10 @@
         nowMs += 1500;
         handle(new GatewayEvent.Tick());
         nowMs += 8000;
-        GatewayAction.Send probe = send(arrive(2, Route.RetrySafety.RESUMABLE));
-        assertInstanceOf(GatewayAction.Refuse.class, only(end(probe, GROUP_BROKEN)));
-        GatewayAction.Refuse r =
-                assertInstanceOf(GatewayAction.Refuse.class, only(arrive(3, Route.RetrySafety.RESUMABLE)));
+        GatewayAction.SendAttempt probe = send(arrive(2, Route.RetrySafety.RESUMABLE));
+        assertInstanceOf(GatewayAction.RefuseRequest.class, only(end(probe, GROUP_BROKEN)));
+        GatewayAction.RefuseRequest r =
+                assertInstanceOf(GatewayAction.RefuseRequest.class, only(arrive(3, Route.RetrySafety.RESUMABLE)));
         assertInstanceOf(Verdict.NotRun.class, r.verdict());
     }
 
@@ -213,28 +216,28 @@
     void afterAnOutagePendingLateRequestsAreLimited() {
         end(send(arrive(10, Route.RetrySafety.RESUMABLE)), GROUP_BROKEN);
         nowMs += 10;
-        GatewayAction.Send probe = send(arrive(11, Route.RetrySafety.RESUMABLE));
+        GatewayAction.SendAttempt probe = send(arrive(11, Route.RetrySafety.RESUMABLE));
         handle(new GatewayEvent.ResponseProgress(probe.attempt(), true));
-        GatewayAction.Send first = send(arriveLate(1));
-        GatewayAction.Send second = send(arriveLate(2));
+        GatewayAction.SendAttempt first = send(arriveLate(1));
+        GatewayAction.SendAttempt second = send(arriveLate(2));
         assertEquals(List.of(), arriveLate(3), "two late requests have not started");
         send(arrive(4, Route.RetrySafety.RESUMABLE));
-        GatewayAction.Send third = send(handle(new GatewayEvent.ResponseProgress(first.attempt(), true)));
+        GatewayAction.SendAttempt third = send(handle(new GatewayEvent.ResponseProgress(first.attempt(), true)));
         assertEquals(3, third.request().id());
         assertEquals(List.of(), arriveLate(5));
         List<GatewayAction> out = end(second, new AttemptOutcome.Completed(200));
-        assertInstanceOf(GatewayAction.Deliver.class, out.getFirst());
+        assertInstanceOf(GatewayAction.DeliverResponse.class, out.getFirst());
         assertEquals(
                 5,
-                assertInstanceOf(GatewayAction.Send.class, out.getLast())
+                assertInstanceOf(GatewayAction.SendAttempt.class, out.getLast())
                         .request()
                         .id());
     }
 
     @Test
     void longGapsTriggerSpeedQueriesAndASlowUpstreamIsAvoided() {
-        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
-        GatewayAction.Send second = send(arrive(2, Route.RetrySafety.RESUMABLE));
+        GatewayAction.SendAttempt first = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        GatewayAction.SendAttempt second = send(arrive(2, Route.RetrySafety.RESUMABLE));
         List<GatewayAction> actions = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             nowMs += 300;
@@ -248,10 +251,10 @@
         assertEquals(3, query.upstreams().size());
         String slow = first.upstream().id();
         List<GatewayAction> out = handle(new GatewayEvent.SpeedReported(slow, 4));
-        assertEquals(new GatewayAction.Cancel(first.attempt()), out.getFirst());
+        assertEquals(new GatewayAction.CancelAttempt(first.attempt()), out.getFirst());
         assertNotEquals(
                 slow,
-                assertInstanceOf(GatewayAction.Send.class, out.getLast())
+                assertInstanceOf(GatewayAction.SendAttempt.class, out.getLast())
                         .upstream()
                         .id());
         for (int id = 3; id <= 8; id++) {
@@ -266,7 +269,7 @@
 
     @Test
     void shortGapsTriggerNoSpeedQueries() {
-        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        GatewayAction.SendAttempt first = send(arrive(1, Route.RetrySafety.RESUMABLE));
         for (int i = 0; i < 50; i++) {
             nowMs += 60;
             assertEquals(List.of(), handle(new GatewayEvent.ResponseProgress(first.attempt(), true)));
@@ -275,7 +278,7 @@
 
     @Test
     void aResponseToAnAttemptSentBeforeTheOutageDoesNotEndIt() {
-        GatewayAction.Send old = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        GatewayAction.SendAttempt old = send(arrive(1, Route.RetrySafety.RESUMABLE));
         end(send(arrive(2, Route.RetrySafety.RESUMABLE)), GROUP_BROKEN);
         assertEquals(List.of(), handle(new GatewayEvent.ResponseProgress(old.attempt(), true)));
     }
@@ -291,10 +294,10 @@
 
     @Test
     void aStartedStreamIsAbortedImmediatelyWhenItsGroupBreaks() {
-        GatewayAction.Send first = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        GatewayAction.SendAttempt first = send(arrive(1, Route.RetrySafety.RESUMABLE));
         handle(new GatewayEvent.ResponseProgress(first.attempt(), true));
         nowMs += 500;
-        GatewayAction.Send second = send(end(first, BROKEN));
+        GatewayAction.SendAttempt second = send(end(first, BROKEN));
         List<GatewayAction> out = end(second, GROUP_BROKEN);
         assertEquals(DOWN, out.getFirst());
         assertInstanceOf(GatewayAction.AbortResponse.class, out.getLast());
@@ -302,15 +305,15 @@
 
     @Test
     void aStalledStreamIsResumedElsewhereOnlyWhileOthersProgress() {
-        GatewayAction.Send stalled = send(arrive(1, Route.RetrySafety.RESUMABLE));
-        GatewayAction.Send active = send(arrive(2, Route.RetrySafety.RESUMABLE));
+        GatewayAction.SendAttempt stalled = send(arrive(1, Route.RetrySafety.RESUMABLE));
+        GatewayAction.SendAttempt active = send(arrive(2, Route.RetrySafety.RESUMABLE));
         assertNotEquals(stalled.upstream().id(), active.upstream().id());
         nowMs += 1000;
         assertEquals(List.of(), handle(new GatewayEvent.Tick()), "all streams are stalled: the whole group pauses");
         handle(new GatewayEvent.ResponseProgress(active.attempt(), true));
         List<GatewayAction> out = handle(new GatewayEvent.Tick());
-        assertEquals(new GatewayAction.Cancel(stalled.attempt()), out.getFirst());
-        assertInstanceOf(GatewayAction.Send.class, out.getLast());
+        assertEquals(new GatewayAction.CancelAttempt(stalled.attempt()), out.getFirst());
+        assertInstanceOf(GatewayAction.SendAttempt.class, out.getLast());
     }
 
     @Test
@@ -328,12 +331,12 @@
     @Test
     void aFailingUpstreamReceivesFewerRequests() {
         for (int i = 1; i <= 30; i++) {
-            GatewayAction.Send s = send(arrive(i, Route.RetrySafety.AT_MOST_ONCE));
+            GatewayAction.SendAttempt s = send(arrive(i, Route.RetrySafety.AT_MOST_ONCE));
             end(s, s.upstream().id().equals("a") ? BROKEN : new AttemptOutcome.Completed(200));
         }
         int toFailing = 0;
         for (int i = 31; i <= 60; i++) {
-            GatewayAction.Send s = send(arrive(i, Route.RetrySafety.AT_MOST_ONCE));
+            GatewayAction.SendAttempt s = send(arrive(i, Route.RetrySafety.AT_MOST_ONCE));
             toFailing += s.upstream().id().equals("a") ? 1 : 0;
         }
         assertTrue(toFailing <= 8, toFailing + " of 30 to the failing upstream");
@@ -369,7 +372,7 @@
                 new GatewayRequest(id, route, "s", "t", rank, 0, 0, waited, nowMs * MS, (nowMs + 4000) * MS)));
     }
 
-    private List<GatewayAction> end(GatewayAction.Send s, AttemptOutcome outcome) {
+    private List<GatewayAction> end(GatewayAction.SendAttempt s, AttemptOutcome outcome) {
         return handle(new GatewayEvent.AttemptEnded(s.attempt(), outcome));
     }
 
@@ -377,8 +380,8 @@
         return dispatcher.handle(e, nowMs * MS);
     }
 
-    private static GatewayAction.Send send(List<GatewayAction> out) {
-        return assertInstanceOf(GatewayAction.Send.class, only(out));
+    private static GatewayAction.SendAttempt send(List<GatewayAction> out) {
+        return assertInstanceOf(GatewayAction.SendAttempt.class, only(out));
     }
 
     private static GatewayAction only(List<GatewayAction> out) {
--- a/core/src/test/java/org/citrontide/core/gateway/GroupOutageLoadTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/GroupOutageLoadTest.java
@@ -37,7 +37,7 @@
     private static final int CALLER_TIMEOUT_MS = 2_000;
     private static final int FIRST_EVENT_MS = 180;
     private static final int EVENT_MS = 50;
-    private static final int ANSWER_MS = 1_200;
+    private static final int RESPONSE_MS = 1_200;
     private static final double REQUESTS_PER_MS = 0.052;
     // Two waits at a gateway of 1.7 and 1.5 s, and a retry delay of 1.9 s between them, less one second until the
     // recovery is detected and the response has started.
@@ -95,7 +95,7 @@
     private record ScheduledTask(long atMs, long order, Runnable task) {}
 
     /** An attempt that waits for a slot of a group member. */
-    private record QueuedAttempt(int rank, long order, int gateway, GatewayAction.Send send) {}
+    private record QueuedAttempt(int rank, long order, int gateway, GatewayAction.SendAttempt send) {}
 
     /** A simulation of gateways, a group and callers in virtual time. */
     private static final class Simulation {
@@ -219,22 +219,22 @@
         private void handle(int g, GatewayEvent event) {
             for (GatewayAction action : gateways.get(g).handle(event, nowMs * MS)) {
                 switch (action) {
-                    case GatewayAction.Send s -> send(g, s);
-                    case GatewayAction.Refuse r -> refused(g, r);
-                    case GatewayAction.Deliver d -> open.get(g).remove(d.request()).completedMs = nowMs;
+                    case GatewayAction.SendAttempt s -> send(g, s);
+                    case GatewayAction.RefuseRequest r -> refused(g, r);
+                    case GatewayAction.DeliverResponse d -> open.get(g).remove(d.request()).completedMs = nowMs;
                     case GatewayAction.AbortResponse b -> open.get(g).remove(b.request());
                     case GatewayAction.QuerySpeeds a -> {
                         // All upstreams have the same speed.
                     }
-                    case GatewayAction.GroupStateChanged n -> {
+                    case GatewayAction.ReportGroupState n -> {
                         // Affects only the log.
                     }
-                    case GatewayAction.Cancel c -> liveAttempts.get(g).remove(c.attempt());
+                    case GatewayAction.CancelAttempt c -> liveAttempts.get(g).remove(c.attempt());
                 }
             }
         }
 
-        private void send(int g, GatewayAction.Send s) {
+        private void send(int g, GatewayAction.SendAttempt s) {
             if (sends.merge(s.request().id(), 1, Integer::sum) > 1) {
                 retries++;
             }
@@ -258,16 +258,16 @@
         /** Starts queued attempts in admission order while the group member has free slots. */
         private void startQueued(String id) {
             while (running.getOrDefault(id, 0) < SLOTS && !queues.get(id).isEmpty()) {
-                QueuedAttempt j = queues.get(id).poll();
-                if (liveAttempts.get(j.gateway()).contains(j.send().attempt())) {
+                QueuedAttempt queued = queues.get(id).poll();
+                if (liveAttempts.get(queued.gateway()).contains(queued.send().attempt())) {
                     running.merge(id, 1, Integer::sum);
-                    run(j.gateway(), j.send());
+                    run(queued.gateway(), queued.send());
                 }
             }
         }
 
-        private void run(int g, GatewayAction.Send s) {
-            for (int ms = FIRST_EVENT_MS; ms < ANSWER_MS; ms += EVENT_MS) {
+        private void run(int g, GatewayAction.SendAttempt s) {
+            for (int ms = FIRST_EVENT_MS; ms < RESPONSE_MS; ms += EVENT_MS) {
                 schedule(ms, () -> {
                     Caller c = open.get(g).get(s.request().id());
                     if (c != null && !isDown() && liveAttempts.get(g).contains(s.attempt())) {
@@ -277,7 +277,7 @@
                     }
                 });
             }
-            schedule(ANSWER_MS, () -> {
+            schedule(RESPONSE_MS, () -> {
                 running.merge(s.upstream().id(), -1, Integer::sum);
                 if (liveAttempts.get(g).remove(s.attempt())) {
                     AttemptOutcome broken = new AttemptOutcome.Broken(Reason.CONNECTION_LOST);
@@ -290,7 +290,7 @@
             });
         }
 
-        private void refused(int g, GatewayAction.Refuse r) {
+        private void refused(int g, GatewayAction.RefuseRequest r) {
             Caller c = open.get(g).remove(r.request());
             if (!(r.verdict() instanceof Verdict.NotRun v)) {
                 return;
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/ForwardedRequest.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/ForwardedRequest.java
@@ -54,7 +54,7 @@
      * @param resumeAfter number of the last event that the caller has, if this attempt goes on from there
      * @return the request
      */
-    static FullHttpRequest build(CallerRequest r, GatewayAction.Send s, OptionalLong resumeAfter) {
+    static FullHttpRequest build(CallerRequest r, GatewayAction.SendAttempt s, OptionalLong resumeAfter) {
         GatewayRequest g = s.request();
         byte[] body = r.body();
         FullHttpRequest out =
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
@@ -230,18 +230,18 @@
     private void handle(GatewayEvent event) {
         for (GatewayAction action : dispatcher.handle(event, System.nanoTime())) {
             switch (action) {
-                case GatewayAction.Send s -> send(s);
-                case GatewayAction.Cancel c -> cancel(c.attempt());
-                case GatewayAction.Deliver d -> deliver(d);
-                case GatewayAction.Refuse r -> refuse(r);
+                case GatewayAction.SendAttempt s -> send(s);
+                case GatewayAction.CancelAttempt c -> cancel(c.attempt());
+                case GatewayAction.DeliverResponse d -> deliver(d);
+                case GatewayAction.RefuseRequest r -> refuse(r);
                 case GatewayAction.AbortResponse b -> breakOff(b);
                 case GatewayAction.QuerySpeeds a -> a.upstreams().forEach(this::askSpeed);
-                case GatewayAction.GroupStateChanged n -> log.groupNoted(n);
+                case GatewayAction.ReportGroupState n -> log.groupNoted(n);
             }
         }
     }
 
-    private void send(GatewayAction.Send s) {
+    private void send(GatewayAction.SendAttempt s) {
         OpenExchange e = open.get(s.request().id());
         OptionalLong resumeAfter = s.request().route().retrySafety() == Route.RetrySafety.RESUMABLE
                 ? e.events.lastId()
@@ -294,7 +294,7 @@
         e.caller.connection().begin(head.status(), answerHeaders(head));
     }
 
-    private void deliver(GatewayAction.Deliver d) {
+    private void deliver(GatewayAction.DeliverResponse d) {
         OpenExchange e = close(d.request());
         UpstreamAttempt a = e.attempt.orElseThrow();
         AnswerHead head = a.head().orElseThrow();
@@ -306,7 +306,7 @@
         }
     }
 
-    private void refuse(GatewayAction.Refuse r) {
+    private void refuse(GatewayAction.RefuseRequest r) {
         OpenExchange e = close(r.request());
         finished(e, r.verdict().headerValue(), Refusals.reason(r.verdict()));
         Refusals.send(e.caller, r.verdict());
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/RequestLog.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/RequestLog.java
@@ -93,7 +93,7 @@
         line.write();
     }
 
-    void groupNoted(GatewayAction.GroupStateChanged n) {
+    void groupNoted(GatewayAction.ReportGroupState n) {
         LOG.info(n.isDown() ? "group-down" : "group-works")
                 .with("service", n.service())
                 .with("waiting", n.waiting())
