--- a/core/src/main/java/org/citrontide/core/claim/ClaimBucketState.java
+++ b/core/src/main/java/org/citrontide/core/claim/ClaimBucketState.java
@@ -42,7 +42,7 @@
     Call outstandingCall = Call.NONE;
 
     /** Whether the last call failed; a bucket with releases only is then not retried before the next tick. */
-    boolean storeFailed;
+    boolean hasStoreFailed;
 
     Optional<Snapshot> snapshot = Optional.empty();
 
--- a/core/src/main/java/org/citrontide/core/claim/ClaimLedger.java
+++ b/core/src/main/java/org/citrontide/core/claim/ClaimLedger.java
@@ -150,7 +150,7 @@
         byKey.remove(pending.key);
         ClaimBucketState bucket = bucket(pending.key.bucket());
         bucket.requests.remove(pending);
-        if (pending.writeSent) {
+        if (pending.isWriteSent) {
             unsentHolders.add(holder(pending));
             bucket.releases.add(holder(pending));
         }
@@ -172,7 +172,7 @@
         bucket.snapshot = Optional.of(snapshot);
         for (PendingClaim pending : List.copyOf(bucket.requests)) {
             Claim stored = snapshot.claims().get(pending.key);
-            if (pending.writeSent && stored != null && stored.holder().equals(holder(pending))) {
+            if (pending.isWriteSent && stored != null && stored.holder().equals(holder(pending))) {
                 bucket.requests.remove(pending);
                 grant(pending, nowNanos, actions);
             }
@@ -222,11 +222,11 @@
             abandon(pending);
             actions.add(denied(pending, Reason.STORE_UNREACHABLE, STORE_RETRY_DELAY));
         }
-        bucket.storeFailed = true;
+        bucket.hasStoreFailed = true;
     }
 
     private void expireRequests(long nowNanos, List<ClaimAction> actions) {
-        buckets.values().forEach(bucket -> bucket.storeFailed = false);
+        buckets.values().forEach(bucket -> bucket.hasStoreFailed = false);
         for (PendingClaim pending : List.copyOf(byAttempt.values())) {
             if (pending.stage == PendingClaim.Stage.REQUESTED && nowNanos >= pending.deadlineNanos) {
                 abandon(pending);
@@ -245,10 +245,10 @@
         if (bucket.outstandingCall != ClaimBucketState.Call.NONE || !bucket.hasPendingChanges()) {
             return;
         }
-        if (bucket.storeFailed && bucket.requests.isEmpty()) {
+        if (bucket.hasStoreFailed && bucket.requests.isEmpty()) {
             return;
         }
-        bucket.storeFailed = false;
+        bucket.hasStoreFailed = false;
         if (bucket.snapshot.isEmpty()) {
             bucket.outstandingCall = ClaimBucketState.Call.READ;
             actions.add(new ClaimAction.ReadBucket(bucket.number));
--- a/core/src/main/java/org/citrontide/core/claim/PendingClaim.java
+++ b/core/src/main/java/org/citrontide/core/claim/PendingClaim.java
@@ -25,7 +25,7 @@
     Stage stage = Stage.REQUESTED;
 
     /** Whether a write with the claim was sent; the claim may then be stored. */
-    boolean writeSent;
+    boolean isWriteSent;
 
     long sinceNanos;
     long expiresEpochMillis;
@@ -39,10 +39,10 @@
 
     /** Sets the claim's lifetime at its first write; later writes of the same claim keep it. */
     void startWindow(Duration newWindow, long nowNanos, long epochMillis) {
-        if (writeSent) {
+        if (isWriteSent) {
             return;
         }
-        writeSent = true;
+        isWriteSent = true;
         sinceNanos = nowNanos;
         window = newWindow;
         expiresEpochMillis = epochMillis + newWindow.toMillis();
--- a/core/src/main/java/org/citrontide/core/dispatch/DispatchRequest.java
+++ b/core/src/main/java/org/citrontide/core/dispatch/DispatchRequest.java
@@ -12,7 +12,7 @@
  * @param team name of the caller's team
  * @param urgency urgency class of the request
  * @param cost estimated cost in tokens
- * @param repeatable whether the request may safely run more than once
+ * @param isRepeatable whether the request may safely run more than once
  * @param bucket claim bucket of its idempotency key, present if it has a key and is not repeatable
  * @param deadlineNanos monotonic deadline in ns
  */
@@ -22,6 +22,6 @@
         String team,
         Urgency urgency,
         int cost,
-        boolean repeatable,
+        boolean isRepeatable,
         Optional<Integer> bucket,
         long deadlineNanos) {}
--- a/core/src/main/java/org/citrontide/core/dispatch/Dispatcher.java
+++ b/core/src/main/java/org/citrontide/core/dispatch/Dispatcher.java
@@ -236,8 +236,8 @@
             }
             open.status = head.status();
             open.contentType = head.contentType();
-            open.streamed = head.contentType().startsWith(EVENT_STREAM);
-            if (open.streamBegun && !open.streamed) {
+            open.isStreamed = head.contentType().startsWith(EVENT_STREAM);
+            if (open.isStreamBegun && !open.isStreamed) {
                 abortAttempt(open, Reason.ANSWER_BROKEN);
             }
         }
@@ -254,7 +254,7 @@
             }
             open.receivedBytes += chunk.data().length;
             UpstreamId upstream = open.currentAttempt.orElseThrow().upstream();
-            if (!open.streamed) {
+            if (!open.isStreamed) {
                 bufferChunk(open, chunk, upstream);
                 return;
             }
@@ -263,8 +263,8 @@
                 actions.add(new DispatchAction.GrantCredit(chunk.attempt(), upstream, chunk.data().length));
                 return;
             }
-            if (!open.streamBegun) {
-                open.streamBegun = true;
+            if (!open.isStreamBegun) {
+                open.isStreamBegun = true;
                 actions.add(new DispatchAction.BeginStream(open.request.id(), open.status, open.contentType));
             }
             actions.add(new DispatchAction.SendEvents(
@@ -303,19 +303,20 @@
         }
 
         private Verdict checkComplete(OpenRequest open, Verdict.Completed completed, long length) {
-            boolean isComplete =
-                    open.status != 0 && open.receivedBytes == length && (!open.streamed || open.splitter.isComplete());
+            boolean isComplete = open.status != 0
+                    && open.receivedBytes == length
+                    && (!open.isStreamed || open.splitter.isComplete());
             return isComplete ? completed : new Verdict.MayHaveRun(Reason.ANSWER_BROKEN);
         }
 
         private void retryOrFinish(OpenRequest open, Verdict outcome) {
             DispatchRequest request = open.request;
-            if (open.streamBegun && open.splitter.isComplete()) {
+            if (open.isStreamBegun && open.splitter.isComplete()) {
                 finish(open, new Verdict.Completed(open.status));
                 return;
             }
             RetryContext retryContext =
-                    new RetryContext(request.repeatable(), open.attemptCount, request.deadlineNanos());
+                    new RetryContext(request.isRepeatable(), open.attemptCount, request.deadlineNanos());
             if (RetryPolicy.shouldRetry(retryContext, outcome, retryBudget(request.service()), nowNanos)) {
                 retries++;
                 sendNextAttempt(open);
@@ -330,7 +331,7 @@
             Verdict end = verdict instanceof Verdict.NotRun n && open.mayHaveRun
                     ? new Verdict.MayHaveRun(n.reason())
                     : verdict;
-            if (open.streamBegun) {
+            if (open.isStreamBegun) {
                 actions.add(new DispatchAction.EndStream(open.request.id(), end));
                 return;
             }
--- a/core/src/main/java/org/citrontide/core/dispatch/EventSplitter.java
+++ b/core/src/main/java/org/citrontide/core/dispatch/EventSplitter.java
@@ -15,7 +15,7 @@
 
     private byte[] partialEvent = new byte[0];
     private int eventCount;
-    private boolean doneEventReceived;
+    private boolean isDoneEventReceived;
 
     /** Appends bytes to the stream and returns the events completed by them, an empty array if there are none. */
     byte[] append(byte[] data) {
@@ -29,7 +29,7 @@
             if (all[i] == '\n' && all[i - 1] == '\n') {
                 end = i + 1;
                 eventCount++;
-                doneEventReceived = startsWithDoneEvent(all, start);
+                isDoneEventReceived = startsWithDoneEvent(all, start);
                 start = end;
             }
         }
@@ -49,7 +49,7 @@
 
     /** Returns whether the stream is complete: its last event arrived, and nothing after it. */
     boolean isComplete() {
-        return doneEventReceived && partialEvent.length == 0;
+        return isDoneEventReceived && partialEvent.length == 0;
     }
 
     private static boolean startsWithDoneEvent(byte[] all, int start) {
--- a/core/src/main/java/org/citrontide/core/dispatch/OpenRequest.java
+++ b/core/src/main/java/org/citrontide/core/dispatch/OpenRequest.java
@@ -43,10 +43,10 @@
     ByteArrayOutputStream body = new ByteArrayOutputStream();
 
     /** Whether the current attempt's answer is a stream of server-sent events. */
-    boolean streamed;
+    boolean isStreamed;
 
     /** Whether the head of a streamed answer has been sent to the caller. */
-    boolean streamBegun;
+    boolean isStreamBegun;
 
     OpenRequest(DispatchRequest request) {
         this.request = request;
@@ -59,7 +59,7 @@
         status = 0;
         contentType = "";
         receivedBytes = 0;
-        streamed = false;
+        isStreamed = false;
         body.reset();
         splitter.discardPartialEvent();
     }
--- a/core/src/main/java/org/citrontide/core/expertmap/RankLoads.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RankLoads.java
@@ -5,7 +5,7 @@
 /**
  * Expert loads and rank speeds of a group, as input for planning. The arrays must not be changed.
  *
- * @param expertLoads load of each expert: the number of its tokens, or its share of all tokens
+ * @param expertLoads load of each expert, in one unit for all, such as tokens or shares of the selections
  * @param rankSpeeds speed of each rank relative to a healthy rank, which has 1
  * @param slotsPerRank maximum number of experts on one rank
  */
--- a/core/src/main/java/org/citrontide/core/gate/GateAction.java
+++ b/core/src/main/java/org/citrontide/core/gate/GateAction.java
@@ -48,5 +48,5 @@
     record CallClaimStore(ClaimAction call) implements GateAction {}
 
     /** Reports that the drain is complete: no attempt holds a slot any more. */
-    record DrainCompleted() implements GateAction {}
+    record ReportDrained() implements GateAction {}
 }
--- a/core/src/main/java/org/citrontide/core/gate/GateRequest.java
+++ b/core/src/main/java/org/citrontide/core/gate/GateRequest.java
@@ -10,12 +10,12 @@
  * The request of one attempt at the gate of an upstream. Immutable.
  *
  * @param queued entry of the request in the queue; its identifier is unique within the process
- * @param repeatable whether the request may safely run more than once
+ * @param isRepeatable whether the request may safely run more than once
  * @param key hash of its idempotency key, empty if it has none
  * @param deadlineEpochMillis deadline by the entry's wall clock, in ms since 1970. It detects attempts that were left
  *     unread while this process was suspended; the monotonic deadline cannot, since it is computed when they are read
  */
-public record GateRequest(QueuedRequest queued, boolean repeatable, Optional<KeyHash> key, long deadlineEpochMillis) {
+public record GateRequest(QueuedRequest queued, boolean isRepeatable, Optional<KeyHash> key, long deadlineEpochMillis) {
 
     /**
      * Returns the identifier of the attempt.
@@ -32,6 +32,6 @@
     }
 
     boolean needsClaim() {
-        return !repeatable && key.isPresent();
+        return !isRepeatable && key.isPresent();
     }
 }
--- a/core/src/main/java/org/citrontide/core/gate/SidecarGate.java
+++ b/core/src/main/java/org/citrontide/core/gate/SidecarGate.java
@@ -49,8 +49,8 @@
     private final Map<Long, Slot> slots = new HashMap<>();
     private Optional<ServiceFile> file = Optional.empty();
     private Optional<SidecarQueue> queue = Optional.empty();
-    private boolean draining;
-    private boolean drainedReported;
+    private boolean isDraining;
+    private boolean isDrainReported;
     private double meanServiceMillis;
 
     /**
@@ -94,7 +94,7 @@
     public SidecarReport report() {
         int count = queue.map(SidecarQueue::size).orElse(0);
         return new SidecarReport(
-                file.isPresent() && !draining,
+                file.isPresent() && !isDraining,
                 slots.size(),
                 count,
                 (int) estimatedWaitMillis(),
@@ -149,8 +149,8 @@
     private static final class Slot {
         private final GateRequest request;
         private final long occupiedSinceNanos;
-        private boolean started;
-        private boolean cancelled;
+        private boolean isStarted;
+        private boolean isCancelled;
 
         private Slot(GateRequest request, long occupiedSinceNanos) {
             this.request = request;
@@ -170,7 +170,7 @@
         }
 
         private void handleAttemptArrived(GateRequest request) {
-            if (draining) {
+            if (isDraining) {
                 refuse(request.id(), Reason.DRAINING, Duration.ZERO);
                 return;
             }
@@ -202,12 +202,12 @@
             if (slot == null) {
                 return;
             }
-            if (!slot.started) {
+            if (!slot.isStarted) {
                 slots.remove(id);
                 handleClaimEvent(new ClaimEvent.CallNotSent(id));
                 refuse(id, Reason.CANCELLED, Duration.ZERO);
-            } else if (slot.request.repeatable()) {
-                slot.cancelled = true;
+            } else if (slot.request.isRepeatable()) {
+                slot.isCancelled = true;
                 actions.add(new GateAction.AbortCall(id));
             }
         }
@@ -233,7 +233,7 @@
                     }
                 }
                 case CallOutcome.AnswerLost l -> {
-                    Reason reason = slot.cancelled ? Reason.CANCELLED : l.reason();
+                    Reason reason = slot.isCancelled ? Reason.CANCELLED : l.reason();
                     actions.add(new GateAction.EndAttempt(id, new Verdict.MayHaveRun(reason), 0));
                     if (hasClaim) {
                         handleClaimEvent(new ClaimEvent.CallFinished(id, Optional.empty()));
@@ -277,14 +277,14 @@
         }
 
         private void startCall(Slot slot, long latestNanos, long latestEpochMillis) {
-            slot.started = true;
+            slot.isStarted = true;
             long latest = Math.min(latestNanos, slot.request.queued().deadlineNanos());
             long latestEpoch = Math.min(latestEpochMillis, slot.request.latestEpochMillis());
             actions.add(new GateAction.StartCall(slot.request.id(), latest, latestEpoch));
         }
 
         private void drain() {
-            draining = true;
+            isDraining = true;
             queue.ifPresent(q -> q.drain().forEach(queued -> {
                 waiting.remove(queued.id());
                 refuse(queued.id(), Reason.DRAINING, Duration.ZERO);
@@ -343,9 +343,9 @@
         }
 
         private void reportDrained() {
-            if (draining && slots.isEmpty() && !drainedReported) {
-                drainedReported = true;
-                actions.add(new GateAction.DrainCompleted());
+            if (isDraining && slots.isEmpty() && !isDrainReported) {
+                isDrainReported = true;
+                actions.add(new GateAction.ReportDrained());
             }
         }
 
--- a/core/src/main/java/org/citrontide/core/publication/ConfigurationSyncController.java
+++ b/core/src/main/java/org/citrontide/core/publication/ConfigurationSyncController.java
@@ -31,7 +31,7 @@
     private Configuration inForce = Configuration.NONE;
     private Optional<Long> confirmedNanos = Optional.empty();
     private Optional<PeerRequest> peerRequest = Optional.empty();
-    private boolean storeCallOutstanding;
+    private boolean isStoreCallOutstanding;
     private Optional<Long> nextStoreCallNanos = Optional.empty();
     private Duration storeInterval = MIN_STORE_INTERVAL;
     private long reportedInvalidVersion;
@@ -126,7 +126,7 @@
 
     private void handleStoreHead(
             ConfigurationSyncEvent.StoreHead storeHead, long nowNanos, List<ConfigurationSyncAction> actions) {
-        storeCallOutstanding = false;
+        isStoreCallOutstanding = false;
         storeInterval = MIN_STORE_INTERVAL;
         scheduleStoreCall(nowNanos, isWatcher ? Duration.ZERO : storeInterval);
         long version = storeHead.head().version();
@@ -168,7 +168,7 @@
     }
 
     private void handleStoreFailed(long nowNanos) {
-        storeCallOutstanding = false;
+        isStoreCallOutstanding = false;
         Duration doubled = storeInterval.multipliedBy(2);
         Duration maxInterval = isWatcher ? MAX_WATCHER_INTERVAL : MAX_NON_WATCHER_INTERVAL;
         storeInterval = doubled.compareTo(maxInterval) < 0 ? doubled : maxInterval;
@@ -176,8 +176,8 @@
     }
 
     private void handleTick(ConfigurationSyncEvent.Tick tick, long nowNanos, List<ConfigurationSyncAction> actions) {
-        isWatcher = tick.watcher();
-        if (storeCallOutstanding) {
+        isWatcher = tick.isWatcher();
+        if (isStoreCallOutstanding) {
             return;
         }
         boolean isFresh = confirmationAge(nowNanos)
@@ -190,7 +190,7 @@
             scheduleStoreCall(nowNanos, isWatcher ? Duration.ZERO : MIN_STORE_INTERVAL);
         }
         if (nowNanos >= nextStoreCallNanos.get()) {
-            storeCallOutstanding = true;
+            isStoreCallOutstanding = true;
             actions.add(new ConfigurationSyncAction.ReadStore(isWatcher));
         }
     }
--- a/core/src/main/java/org/citrontide/core/publication/ConfigurationSyncEvent.java
+++ b/core/src/main/java/org/citrontide/core/publication/ConfigurationSyncEvent.java
@@ -47,7 +47,7 @@
     /**
      * Time advanced, or this process became or ceased to be a watcher.
      *
-     * @param watcher whether this process is one of its zone's watchers
+     * @param isWatcher whether this process is one of its zone's watchers
      */
-    record Tick(boolean watcher) implements ConfigurationSyncEvent {}
+    record Tick(boolean isWatcher) implements ConfigurationSyncEvent {}
 }
--- a/core/src/main/java/org/citrontide/core/publication/PublicationStateMachine.java
+++ b/core/src/main/java/org/citrontide/core/publication/PublicationStateMachine.java
@@ -44,7 +44,7 @@
     private long headRevision;
     private int failures;
     private boolean headMayBeWritten;
-    private boolean headWriteOutstanding;
+    private boolean isHeadWriteOutstanding;
 
     /**
      * Creates a publication that has not started.
@@ -98,7 +98,7 @@
             }
             case PublicationEvent.HeadWritten w -> finish(new PublicationResult.Published(currentHead.version() + 1));
             case PublicationEvent.HeadConflict c -> {
-                headWriteOutstanding = false;
+                isHeadWriteOutstanding = false;
                 yield new PublicationAction.ReadHead(Duration.ZERO);
             }
             case PublicationEvent.CallFailed f -> handleCallFailed(f);
@@ -188,7 +188,7 @@
                 return new PublicationAction.WriteFile(hash(text.get()), text.get());
             }
         }
-        headWriteOutstanding = true;
+        isHeadWriteOutstanding = true;
         return new PublicationAction.WriteHead(headRevision, next);
     }
 
@@ -213,8 +213,8 @@
     }
 
     private PublicationAction handleCallFailed(PublicationEvent.CallFailed event) {
-        headMayBeWritten |= headWriteOutstanding && event.mayHaveTakenEffect();
-        headWriteOutstanding = false;
+        headMayBeWritten |= isHeadWriteOutstanding && event.mayHaveTakenEffect();
+        isHeadWriteOutstanding = false;
         failures++;
         if (failures >= MAX_FAILURES) {
             return finish(new PublicationResult.Unreachable(headMayBeWritten));
--- a/core/src/main/java/org/citrontide/core/retry/RetryPolicy.java
+++ b/core/src/main/java/org/citrontide/core/retry/RetryPolicy.java
@@ -6,7 +6,7 @@
 /**
  * Decides whether a failed attempt is retried.
  *
- * <p>Invariants: a request that must not be repeated is retried only after {@link Verdict.NotRun}; no request is
+ * <p>Invariants: a request that is not repeatable is retried only after {@link Verdict.NotRun}; no request is
  * retried after its deadline or gets more than {@value #MAX_ATTEMPTS} attempts in all; a retry uses the budget unless a
  * draining upstream returned the work. If a request is not retried, its verdict is final at once. Stateless and safe
  * for use by multiple threads.
--- a/core/src/test/java/org/citrontide/core/faults/FakeSidecar.java
+++ b/core/src/test/java/org/citrontide/core/faults/FakeSidecar.java
@@ -147,7 +147,7 @@
                             new DispatchEvent.AttemptEnded(open.attempt(), e.verdict(), e.length()));
                 }
             }
-            case GateAction.DrainCompleted d -> {
+            case GateAction.ReportDrained d -> {
                 // Only the real shell acts on this.
             }
         }
--- a/core/src/test/java/org/citrontide/core/publication/ConfigurationSyncTest.java
+++ b/core/src/test/java/org/citrontide/core/publication/ConfigurationSyncTest.java
@@ -143,20 +143,20 @@
                                             head, Map.of(PublicationStateMachine.hash(text), text)));
                 }
                 if (now % 1000 == (i * STEP_MS) % 1000) {
-                    heartbeats(i);
+                    sendHeartbeats(i);
                 }
             }
         }
 
         /** Sends heartbeats in both directions of each link. */
-        private void heartbeats(int i) {
+        private void sendHeartbeats(int i) {
             for (int peer : links.get(i)) {
-                digest(i, peer);
-                digest(peer, i);
+                sendDigest(i, peer);
+                sendDigest(peer, i);
             }
         }
 
-        private void digest(int from, int to) {
+        private void sendDigest(int from, int to) {
             ConfigurationSyncController c = controllers.get(from);
             Duration age = c.confirmationAge(now * MILLI).orElse(Duration.ofDays(1));
             handle(to, new ConfigurationSyncEvent.PeerDigest(from, c.inForce().version(), age));
@@ -165,7 +165,7 @@
         private void handle(int i, ConfigurationSyncEvent event) {
             for (ConfigurationSyncAction a : controllers.get(i).handle(event, now * MILLI)) {
                 switch (a) {
-                    case ConfigurationSyncAction.RequestFiles p -> answer(i, (int) p.peer());
+                    case ConfigurationSyncAction.RequestFiles p -> sendFiles(i, (int) p.peer());
                     case ConfigurationSyncAction.ReadStore s -> {
                         storeCalls++;
                         stepsToResponse.put(i, s.watch() && !storeDown && isCurrent(i) ? 20 : 1);
@@ -182,7 +182,7 @@
             return controllers.get(i).inForce().version() >= head.version();
         }
 
-        private void answer(int to, int from) {
+        private void sendFiles(int to, int from) {
             Configuration c = controllers.get(from).inForce();
             Map<String, Long> versions = new HashMap<>();
             Map<String, String> texts = new HashMap<>();
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
@@ -221,7 +221,7 @@
             case GateAction.EndAttempt e -> end(e.id(), e.verdict(), e.length());
             case GateAction.ReplayAnswer r -> replay(r);
             case GateAction.CallClaimStore c -> claimCall(c.call());
-            case GateAction.DrainCompleted d -> drained.countDown();
+            case GateAction.ReportDrained d -> drained.countDown();
         }
     }
 
