--- a/cli/src/main/java/org/citrontide/cli/PublishCommand.java
+++ b/cli/src/main/java/org/citrontide/cli/PublishCommand.java
@@ -75,7 +75,7 @@
             if (action instanceof PublicationAction.Finish f) {
                 return f.result();
             }
-            action = machine.on(execute(store, action));
+            action = machine.handle(execute(store, action));
         }
     }
 
--- a/core/src/main/java/org/citrontide/core/expertmap/RankAction.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/RankAction.java
@@ -1,7 +1,7 @@
 package org.citrontide.core.expertmap;
 
 /**
- * An action that {@link RankCommitProtocol} requests from its shell, which performs those of a transition in order.
+ * An action that a {@link RankCommitProtocol} requests from its shell, which performs those of a transition in order.
  * Immutable.
  */
 public sealed interface RankAction {
@@ -18,7 +18,7 @@
      *
      * @param state the state
      */
-    record Persist(RankState state) implements RankAction {}
+    record PersistState(RankState state) implements RankAction {}
 
     /**
      * Sends the vote of this rank to the requester and to all other ranks.
--- a/core/src/main/java/org/citrontide/core/publication/ConfigurationSyncController.java
+++ b/core/src/main/java/org/citrontide/core/publication/ConfigurationSyncController.java
@@ -31,7 +31,7 @@
     private Configuration inForce = Configuration.NONE;
     private Optional<Long> confirmedNanos = Optional.empty();
     private Optional<PeerRequest> peerRequest = Optional.empty();
-    private boolean storeCallOutstanding;
+    private boolean isStoreCallOutstanding;
     private Optional<Long> nextStoreCallNanos = Optional.empty();
     private Duration storeInterval = MIN_STORE_INTERVAL;
     private long reportedInvalidVersion;
@@ -73,12 +73,12 @@
      * @param nowNanos monotonic time in ns
      * @return the actions that the caller must perform, in order
      */
-    public List<ConfigurationSyncAction> on(ConfigurationSyncEvent event, long nowNanos) {
+    public List<ConfigurationSyncAction> handle(ConfigurationSyncEvent event, long nowNanos) {
         List<ConfigurationSyncAction> actions = new ArrayList<>();
         switch (event) {
             case ConfigurationSyncEvent.PeerDigest d -> handlePeerDigest(d, nowNanos, actions);
-            case ConfigurationSyncEvent.PeerDisconnected l ->
-                peerRequest = peerRequest.filter(q -> q.peer() != l.peer());
+            case ConfigurationSyncEvent.PeerDisconnected closed ->
+                peerRequest = peerRequest.filter(request -> request.peer() != closed.peer());
             case ConfigurationSyncEvent.PeerFiles f -> handlePeerFiles(f, actions);
             case ConfigurationSyncEvent.StoreHead h -> handleStoreHead(h, nowNanos, actions);
             case ConfigurationSyncEvent.StoreFailed f -> handleStoreFailed(nowNanos);
@@ -88,34 +88,34 @@
     }
 
     private void handlePeerDigest(
-            ConfigurationSyncEvent.PeerDigest d, long nowNanos, List<ConfigurationSyncAction> actions) {
-        if (d.version() >= inForce.version()) {
-            recordConfirmation(nowNanos - d.age().toNanos());
+            ConfigurationSyncEvent.PeerDigest digest, long nowNanos, List<ConfigurationSyncAction> actions) {
+        if (digest.version() >= inForce.version()) {
+            recordConfirmation(nowNanos - digest.age().toNanos());
         }
         boolean isAwaitingPeer = peerRequest
                 .filter(q -> nowNanos - q.sentNanos() < PEER_TIMEOUT.toNanos())
                 .isPresent();
-        if (d.version() > inForce.version() && d.version() != reportedInvalidVersion && !isAwaitingPeer) {
-            peerRequest = Optional.of(new PeerRequest(d.peer(), nowNanos));
-            actions.add(new ConfigurationSyncAction.RequestFiles(d.peer(), inForce.version()));
+        if (digest.version() > inForce.version() && digest.version() != reportedInvalidVersion && !isAwaitingPeer) {
+            peerRequest = Optional.of(new PeerRequest(digest.peer(), nowNanos));
+            actions.add(new ConfigurationSyncAction.RequestFiles(digest.peer(), inForce.version()));
         }
     }
 
-    private void handlePeerFiles(ConfigurationSyncEvent.PeerFiles f, List<ConfigurationSyncAction> actions) {
-        peerRequest = peerRequest.filter(q -> q.peer() != f.peer());
-        if (f.version() <= inForce.version()) {
+    private void handlePeerFiles(ConfigurationSyncEvent.PeerFiles peerFiles, List<ConfigurationSyncAction> actions) {
+        peerRequest = peerRequest.filter(request -> request.peer() != peerFiles.peer());
+        if (peerFiles.version() <= inForce.version()) {
             return;
         }
         Map<String, Configuration.FileText> files = new HashMap<>();
-        for (Map.Entry<String, Long> e : f.files().entrySet()) {
-            Optional<String> text =
-                    Optional.ofNullable(f.texts().get(e.getKey())).or(() -> textInForce(e.getKey(), e.getValue()));
+        for (Map.Entry<String, Long> e : peerFiles.files().entrySet()) {
+            Optional<String> text = Optional.ofNullable(peerFiles.texts().get(e.getKey()))
+                    .or(() -> textInForce(e.getKey(), e.getValue()));
             if (text.isEmpty()) {
                 return;
             }
             files.put(e.getKey(), new Configuration.FileText(e.getValue(), text.get()));
         }
-        install(f.version(), files, actions);
+        install(peerFiles.version(), files, actions);
     }
 
     private Optional<String> textInForce(String name, long version) {
@@ -125,11 +125,11 @@
     }
 
     private void handleStoreHead(
-            ConfigurationSyncEvent.StoreHead h, long nowNanos, List<ConfigurationSyncAction> actions) {
-        storeCallOutstanding = false;
+            ConfigurationSyncEvent.StoreHead storeHead, long nowNanos, List<ConfigurationSyncAction> actions) {
+        isStoreCallOutstanding = false;
         storeInterval = MIN_STORE_INTERVAL;
         scheduleStoreCall(nowNanos, isWatcher ? Duration.ZERO : storeInterval);
-        long version = h.head().version();
+        long version = storeHead.head().version();
         if (version < inForce.version()) {
             if (reportedStoreVersion != version) {
                 reportedStoreVersion = version;
@@ -143,9 +143,9 @@
             return;
         }
         Map<String, Configuration.FileText> files = new HashMap<>();
-        for (Map.Entry<String, Head.HeadFile> e : h.head().files().entrySet()) {
+        for (Map.Entry<String, Head.HeadFile> e : storeHead.head().files().entrySet()) {
             Optional<String> text = Optional.ofNullable(
-                            h.texts().get(e.getValue().hash()))
+                            storeHead.texts().get(e.getValue().hash()))
                     .or(() -> textInForce(e.getKey(), e.getValue().version()));
             if (text.isEmpty()) {
                 return;
@@ -168,16 +168,16 @@
     }
 
     private void handleStoreFailed(long nowNanos) {
-        storeCallOutstanding = false;
+        isStoreCallOutstanding = false;
         Duration doubled = storeInterval.multipliedBy(2);
         Duration maxInterval = isWatcher ? MAX_WATCHER_INTERVAL : MAX_NON_WATCHER_INTERVAL;
         storeInterval = doubled.compareTo(maxInterval) < 0 ? doubled : maxInterval;
         scheduleStoreCall(nowNanos, storeInterval);
     }
 
-    private void handleTick(ConfigurationSyncEvent.Tick t, long nowNanos, List<ConfigurationSyncAction> actions) {
-        isWatcher = t.watcher();
-        if (storeCallOutstanding) {
+    private void handleTick(ConfigurationSyncEvent.Tick tick, long nowNanos, List<ConfigurationSyncAction> actions) {
+        isWatcher = tick.isWatcher();
+        if (isStoreCallOutstanding) {
             return;
         }
         boolean isFresh = confirmationAge(nowNanos)
@@ -190,7 +190,7 @@
             scheduleStoreCall(nowNanos, isWatcher ? Duration.ZERO : MIN_STORE_INTERVAL);
         }
         if (nowNanos >= nextStoreCallNanos.get()) {
-            storeCallOutstanding = true;
+            isStoreCallOutstanding = true;
             actions.add(new ConfigurationSyncAction.ReadStore(isWatcher));
         }
     }
--- a/core/src/test/java/org/citrontide/core/gateway/GroupOutageLoadTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/GroupOutageLoadTest.java
@@ -37,7 +37,7 @@
     private static final int CALLER_TIMEOUT_MS = 2_000;
     private static final int FIRST_EVENT_MS = 180;
     private static final int EVENT_MS = 50;
-    private static final int ANSWER_MS = 1_200;
+    private static final int RESPONSE_MS = 1_200;
     private static final double REQUESTS_PER_MS = 0.052;
     // Two waits at a gateway of 1.7 and 1.5 s, and a retry delay of 1.9 s between them, less one second until the
     // recovery is detected and the response has started.
@@ -48,7 +48,7 @@
     private static final int TARGET_MS = 400;
 
     @Test
-    void mostCallersOfAnOutageAreServedAndMostAfterItOnTime() {
+    void mostRequestsOfAnOutageAreServedAndMostAfterItAreOnTime() {
         for (int seed = 1; seed <= 5; seed++) {
             Simulation simulation = new Simulation(seed);
             simulation.simulate();
@@ -95,7 +95,7 @@
     private record ScheduledTask(long atMs, long order, Runnable task) {}
 
     /** An attempt that waits for a slot of a group member. */
-    private record QueuedAttempt(int rank, long order, int gateway, GatewayAction.Send send) {}
+    private record QueuedAttempt(int rank, long order, int gateway, GatewayAction.SendAttempt send) {}
 
     /** A simulation of gateways, a group and callers in virtual time. */
     private static final class Simulation {
@@ -149,7 +149,7 @@
                 }
                 if (nowMs % 50 == 0) {
                     for (int g = 0; g < GATEWAYS; g++) {
-                        on(g, new GatewayEvent.Tick());
+                        handle(g, new GatewayEvent.Tick());
                     }
                 }
             }
@@ -196,7 +196,7 @@
                     c.rank,
                     false);
             long end = (c.arrivedMs + DEADLINE_MS) * MS;
-            on(
+            handle(
                     g,
                     new GatewayEvent.RequestArrived(new GatewayRequest(
                             id,
@@ -211,30 +211,30 @@
                             end)));
             schedule(CALLER_TIMEOUT_MS, () -> {
                 if (c.attempt == attempt && !c.hasStarted && open.get(g).remove(id) != null) {
-                    on(g, new GatewayEvent.CallerDisconnected(id));
+                    handle(g, new GatewayEvent.CallerDisconnected(id));
                 }
             });
         }
 
-        private void on(int g, GatewayEvent event) {
+        private void handle(int g, GatewayEvent event) {
             for (GatewayAction action : gateways.get(g).handle(event, nowMs * MS)) {
                 switch (action) {
-                    case GatewayAction.Send s -> send(g, s);
-                    case GatewayAction.Refuse r -> refused(g, r);
-                    case GatewayAction.Deliver d -> open.get(g).remove(d.request()).completedMs = nowMs;
+                    case GatewayAction.SendAttempt s -> send(g, s);
+                    case GatewayAction.RefuseRequest r -> refused(g, r);
+                    case GatewayAction.DeliverResponse d -> open.get(g).remove(d.request()).completedMs = nowMs;
                     case GatewayAction.AbortResponse b -> open.get(g).remove(b.request());
                     case GatewayAction.QuerySpeeds a -> {
                         // All upstreams have the same speed.
                     }
-                    case GatewayAction.GroupStateChanged n -> {
+                    case GatewayAction.ReportGroupState n -> {
                         // Affects only the log.
                     }
-                    case GatewayAction.Cancel c -> liveAttempts.get(g).remove(c.attempt());
+                    case GatewayAction.CancelAttempt c -> liveAttempts.get(g).remove(c.attempt());
                 }
             }
         }
 
-        private void send(int g, GatewayAction.Send s) {
+        private void send(int g, GatewayAction.SendAttempt s) {
             if (sends.merge(s.request().id(), 1, Integer::sum) > 1) {
                 retries++;
             }
@@ -242,7 +242,7 @@
                 rejections++;
                 schedule(
                         2,
-                        () -> on(
+                        () -> handle(
                                 g,
                                 new GatewayEvent.AttemptEnded(
                                         s.attempt(),
@@ -258,30 +258,30 @@
         /** Starts queued attempts in admission order while the group member has free slots. */
         private void startQueued(String id) {
             while (running.getOrDefault(id, 0) < SLOTS && !queues.get(id).isEmpty()) {
-                QueuedAttempt j = queues.get(id).poll();
-                if (liveAttempts.get(j.gateway()).contains(j.send().attempt())) {
+                QueuedAttempt queued = queues.get(id).poll();
+                if (liveAttempts.get(queued.gateway()).contains(queued.send().attempt())) {
                     running.merge(id, 1, Integer::sum);
-                    run(j.gateway(), j.send());
+                    run(queued.gateway(), queued.send());
                 }
             }
         }
 
-        private void run(int g, GatewayAction.Send s) {
-            for (int ms = FIRST_EVENT_MS; ms < ANSWER_MS; ms += EVENT_MS) {
+        private void run(int g, GatewayAction.SendAttempt s) {
+            for (int ms = FIRST_EVENT_MS; ms < RESPONSE_MS; ms += EVENT_MS) {
                 schedule(ms, () -> {
                     Caller c = open.get(g).get(s.request().id());
                     if (c != null && !isDown() && liveAttempts.get(g).contains(s.attempt())) {
                         c.startedMs = c.hasStarted ? c.startedMs : nowMs;
                         c.hasStarted = true;
-                        on(g, new GatewayEvent.ResponseProgress(s.attempt(), true));
+                        handle(g, new GatewayEvent.ResponseProgress(s.attempt(), true));
                     }
                 });
             }
-            schedule(ANSWER_MS, () -> {
+            schedule(RESPONSE_MS, () -> {
                 running.merge(s.upstream().id(), -1, Integer::sum);
                 if (liveAttempts.get(g).remove(s.attempt())) {
                     AttemptOutcome broken = new AttemptOutcome.Broken(Reason.CONNECTION_LOST);
-                    on(
+                    handle(
                             g,
                             new GatewayEvent.AttemptEnded(
                                     s.attempt(), isDown() ? broken : new AttemptOutcome.Completed(200)));
@@ -290,7 +290,7 @@
             });
         }
 
-        private void refused(int g, GatewayAction.Refuse r) {
+        private void refused(int g, GatewayAction.RefuseRequest r) {
             Caller c = open.get(g).remove(r.request());
             if (!(r.verdict() instanceof Verdict.NotRun v)) {
                 return;
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
@@ -241,18 +241,18 @@
     private void handle(GatewayEvent event) {
         for (GatewayAction action : dispatcher.handle(event, System.nanoTime())) {
             switch (action) {
-                case GatewayAction.Send s -> sendAttempt(s);
-                case GatewayAction.Cancel c -> cancelAttempt(c.attempt());
-                case GatewayAction.Deliver d -> deliverResponse(d);
-                case GatewayAction.Refuse r -> refuseRequest(r);
+                case GatewayAction.SendAttempt s -> sendAttempt(s);
+                case GatewayAction.CancelAttempt c -> cancelAttempt(c.attempt());
+                case GatewayAction.DeliverResponse d -> deliverResponse(d);
+                case GatewayAction.RefuseRequest r -> refuseRequest(r);
                 case GatewayAction.AbortResponse b -> abortResponse(b);
                 case GatewayAction.QuerySpeeds a -> a.upstreams().forEach(this::querySpeed);
-                case GatewayAction.GroupStateChanged n -> log.logGroupState(n);
+                case GatewayAction.ReportGroupState n -> log.logGroupState(n);
             }
         }
     }
 
-    private void sendAttempt(GatewayAction.Send send) {
+    private void sendAttempt(GatewayAction.SendAttempt send) {
         OpenExchange exchange = openById.get(send.request().id());
         OptionalLong resumeAfter = send.request().route().retrySafety() == Route.RetrySafety.RESUMABLE
                 ? exchange.eventMerger.lastEventId()
@@ -307,7 +307,7 @@
         exchange.caller.connection().startResponse(head.status(), responseHeaders(head));
     }
 
-    private void deliverResponse(GatewayAction.Deliver deliver) {
+    private void deliverResponse(GatewayAction.DeliverResponse deliver) {
         OpenExchange exchange = removeExchange(deliver.request());
         UpstreamAttempt attempt = exchange.attempt.orElseThrow();
         ResponseHead head = attempt.head().orElseThrow();
@@ -319,7 +319,7 @@
         }
     }
 
-    private void refuseRequest(GatewayAction.Refuse refuse) {
+    private void refuseRequest(GatewayAction.RefuseRequest refuse) {
         OpenExchange exchange = removeExchange(refuse.request());
         recordRequestEnd(exchange, refuse.verdict().headerValue(), Refusals.reasonKey(refuse.verdict()));
         Refusals.send(exchange.caller, refuse.verdict());
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/RequestLog.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/RequestLog.java
@@ -99,7 +99,7 @@
         line.write();
     }
 
-    void logGroupState(GatewayAction.GroupStateChanged change) {
+    void logGroupState(GatewayAction.ReportGroupState change) {
         LOG.info(change.isDown() ? "group-down" : "group-works")
                 .with("service", change.service())
                 .with("waiting", change.waiting())
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/UpstreamRequestBuilder.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/UpstreamRequestBuilder.java
@@ -57,7 +57,8 @@
      * @param resumeAfter number of the last event that the caller received, if the attempt resumes after it
      * @return the request to send
      */
-    static FullHttpRequest build(CallerRequest callerRequest, GatewayAction.Send send, OptionalLong resumeAfter) {
+    static FullHttpRequest build(
+            CallerRequest callerRequest, GatewayAction.SendAttempt send, OptionalLong resumeAfter) {
         GatewayRequest request = send.request();
         byte[] body = callerRequest.body();
         FullHttpRequest out = new DefaultFullHttpRequest(
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
@@ -224,7 +224,7 @@
             case GateAction.EndAttempt e -> endAttempt(e.id(), e.verdict(), e.length());
             case GateAction.ReplayAnswer r -> replayAnswer(r);
             case GateAction.CallClaimStore c -> callClaimStore(c.call());
-            case GateAction.DrainCompleted d -> drained.countDown();
+            case GateAction.ReportDrained d -> drained.countDown();
         }
     }
 
--- a/store/src/main/java/org/citrontide/store/configuration/ConfigurationService.java
+++ b/store/src/main/java/org/citrontide/store/configuration/ConfigurationService.java
@@ -232,7 +232,7 @@
 
         private void runController(ConfigurationSyncEvent event) {
             long now = clock.nanos();
-            List<ConfigurationSyncAction> actions = controller.on(event, now);
+            List<ConfigurationSyncAction> actions = controller.handle(event, now);
             lastConfirmedNanos = controller.confirmationAge(now).map(a -> now - a.toNanos());
             actions.forEach(ConfigurationService.this::execute);
         }
