--- a/entry/src/main/java/org/citrontide/entry/daemon/EntryModule.java
+++ b/entry/src/main/java/org/citrontide/entry/daemon/EntryModule.java
@@ -15,7 +15,7 @@
 import org.citrontide.entry.dispatch.DispatchShell;
 import org.citrontide.entry.dispatch.EntryMetrics;
 import org.citrontide.entry.http.EntryHandler;
-import org.citrontide.runtime.duty.Clock;
+import org.citrontide.runtime.eventloop.Clock;
 import org.citrontide.store.client.StoreClient;
 import org.citrontide.store.configuration.ConfigurationService;
 import org.citrontide.store.configuration.StoreConfigurationReader;
--- a/entry/src/main/java/org/citrontide/entry/http/EntryHandler.java
+++ b/entry/src/main/java/org/citrontide/entry/http/EntryHandler.java
@@ -12,7 +12,7 @@
 import org.citrontide.entry.filter.FilterChain;
 import org.citrontide.entry.filter.Refusal;
 import org.citrontide.entry.filter.RequestContext;
-import org.citrontide.runtime.duty.Clock;
+import org.citrontide.runtime.eventloop.Clock;
 import org.citrontide.store.configuration.ConfigurationService;
 import org.eclipse.jetty.http.HttpField;
 import org.eclipse.jetty.http.HttpHeader;
--- a/runtime/src/main/java/org/citrontide/runtime/duty/Clock.java
+++ b/runtime/src/main/java/org/citrontide/runtime/eventloop/Clock.java
@@ -1,4 +1,4 @@
-package org.citrontide.runtime.duty;
+package org.citrontide.runtime.eventloop;
 
 /** Source of time for the components that do I/O; the state machines receive the time as an argument. Thread-safe. */
 public interface Clock {
--- a/runtime/src/main/java/org/citrontide/runtime/duty/EventLoop.java
+++ b/runtime/src/main/java/org/citrontide/runtime/eventloop/EventLoop.java
@@ -1,4 +1,4 @@
-package org.citrontide.runtime.duty;
+package org.citrontide.runtime.eventloop;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarModule.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/daemon/SidecarModule.java
@@ -9,7 +9,7 @@
 import dagger.Module;
 import dagger.Provides;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
-import org.citrontide.runtime.duty.Clock;
+import org.citrontide.runtime.eventloop.Clock;
 import org.citrontide.sidecar.gate.ClaimStore;
 import org.citrontide.sidecar.gate.GateShell;
 import org.citrontide.sidecar.gate.SidecarMetrics;
