--- a/core/src/main/java/org/citrontide/core/expertmap/GroupMapChange.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/GroupMapChange.java
@@ -116,7 +116,7 @@
         c.holder = reports.holdingRanks(ranks).getFirst();
         c.holdStep = reports.of(c.holder).heldStep().orElseThrow();
         context.log(
-                "map-change-found",
+                "map-change-taken-over",
                 "version " + version + " pass " + c.holdStep + " armed " + armed.size() + " prepared on all "
                         + preparedVersion.isPresent());
         if (preparedVersion.isPresent()) {
--- a/core/src/main/java/org/citrontide/core/expertmap/GroupMapController.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/GroupMapController.java
@@ -409,7 +409,7 @@
             startSampling(rebalanceParameters().sampleInterval(), context);
             return;
         }
-        context.log("map-change-begun", policy.describe(map, from));
+        context.log("map-change-started", policy.describe(map, from));
         enterPhase(Phase.CHANGING, context);
         next = Optional.of(map);
         Duration copy = profile.expertCopyTime(map.maxNewExpertsPerRank(from));
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
@@ -282,10 +282,10 @@
     }
 
     private void handleSpeedReport(ListedUpstream upstream, RankReport report) {
-        double before = Optional.ofNullable(slownessByUpstream.put(upstream.id(), report.slowness()))
+        double previous = Optional.ofNullable(slownessByUpstream.put(upstream.id(), report.slowness()))
                 .orElse(1.0);
-        if (Math.abs(report.slowness() - before) > MIN_LOGGED_SLOWNESS_CHANGE) {
-            log.logSpeedChange(upstream.id(), before, report.slowness());
+        if (Math.abs(report.slowness() - previous) > MIN_LOGGED_SLOWNESS_CHANGE) {
+            log.logSpeedChange(upstream.id(), previous, report.slowness());
         }
         handle(new GatewayEvent.SpeedReported(upstream.id(), report.slowness()));
     }
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/RequestLog.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/RequestLog.java
@@ -39,7 +39,7 @@
 
     void logRetry(OpenExchange exchange, UpstreamAttempt attempt, Duration remaining) {
         if (exchange.attempts > 1 && failureLimiter.tryAcquire(System.nanoTime())) {
-            LOG.info("attempt-repeated")
+            LOG.info("attempt-retried")
                     .with("id", attemptId(exchange.caller))
                     .with("attempt", exchange.attempts)
                     .with("upstream", attempt.upstream().id())
@@ -94,22 +94,22 @@
                 .with("reason", reason)
                 .with("age-ms", ageMillis(exchange));
         if (suppressed > 0) {
-            line.with("lines-left-out", suppressed);
+            line.with("lines-suppressed", suppressed);
         }
         line.write();
     }
 
     void logGroupState(GatewayAction.ReportGroupState change) {
-        LOG.info(change.isDown() ? "group-down" : "group-works")
+        LOG.info(change.isDown() ? "group-down" : "group-recovered")
                 .with("service", change.service())
                 .with("waiting", change.waiting())
                 .write();
     }
 
-    void logSpeedChange(String upstream, double before, double slowness) {
+    void logSpeedChange(String upstream, double previous, double slowness) {
         LOG.info("upstream-speed")
                 .with("upstream", upstream)
-                .with("before", before)
+                .with("previous", previous)
                 .with("slowness", slowness)
                 .write();
     }
--- a/gateway/src/main/java/org/citrontide/gateway/store/LeaderElection.java
+++ b/gateway/src/main/java/org/citrontide/gateway/store/LeaderElection.java
@@ -222,7 +222,7 @@
         leaseNumber = OptionalLong.empty();
         client.call(store, MetadataStore.revokeLease(number), CALL_TIMEOUT).whenComplete((response, failure) -> {
             if (failure != null) {
-                LOG.info("lease-end-unanswered").with("lease", number).write();
+                LOG.info("lease-revocation-unanswered").with("lease", number).write();
             }
         });
         scheduleRetry();
--- a/gateway/src/main/java/org/citrontide/gateway/store/StoreMirror.java
+++ b/gateway/src/main/java/org/citrontide/gateway/store/StoreMirror.java
@@ -374,7 +374,7 @@
         membership.storeAvailable(System.nanoTime());
         if (isStoreUnavailable) {
             isStoreUnavailable = false;
-            LOG.info("store-regained")
+            LOG.info("store-recovered")
                     .with("after-ms", millisSinceLastResponse())
                     .write();
         }
--- a/runtime/src/main/java/org/citrontide/runtime/eventloop/EventLoop.java
+++ b/runtime/src/main/java/org/citrontide/runtime/eventloop/EventLoop.java
@@ -113,7 +113,7 @@
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException e) {
-                LOG.error("duty-failed", e).with("duty", thread.getName()).write();
+                LOG.error("event-loop-failed", e).with("event-loop", thread.getName()).write();
             }
             batch.clear();
         }
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
@@ -173,7 +173,7 @@
     private void handleAttempt(Link link, Attempt a, long nowNanos) {
         AttemptSequence sequence = attemptSequences.computeIfAbsent(link.id(), l -> new AttemptSequence());
         if (!sequence.accept(a.getId())) {
-            LOG.warn("attempt-repeated").with("request", a.getRequestId()).write();
+            LOG.warn("attempt-id-reused").with("request", a.getRequestId()).write();
             return;
         }
         long number = nextAttemptNumber++;
--- a/store/src/main/java/org/citrontide/store/configuration/ConfigurationService.java
+++ b/store/src/main/java/org/citrontide/store/configuration/ConfigurationService.java
@@ -176,14 +176,14 @@
                 storeReader.read(a.watch(), lastHead, inForce.version()).thenAccept(eventLoop::put);
             case ConfigurationSyncAction.InstallConfiguration i -> install(i.configuration());
             case ConfigurationSyncAction.ReportStoreRegression a ->
-                LOG.warn("store-went-back")
+                LOG.warn("store-version-regressed")
                         .with("store-version", a.storeVersion())
                         .with("in-force", a.inForce())
                         .write();
             case ConfigurationSyncAction.ReportInvalidConfiguration a ->
                 LOG.warn("configuration-invalid")
                         .with("version", a.version())
-                        .with("first", a.violations().getFirst().text())
+                        .with("first-violation", a.violations().getFirst().text())
                         .write();
         }
     }
