--- a/core/src/main/java/org/citrontide/core/gateway/AdmissionQueue.java
+++ b/core/src/main/java/org/citrontide/core/gateway/AdmissionQueue.java
@@ -157,7 +157,7 @@
     /** Returns whether a request is late and part of the backlog of an outage; at other times late requests are few. */
     private boolean isHeldBack(GatewayRequest request, long nowNanos) {
         boolean hasBacklog = hadOutage && nowNanos - recoveredNanos < BACKLOG_PERIOD.toNanos();
-        return hasBacklog && request.route().streaming() && request.isLate(nowNanos);
+        return hasBacklog && request.route().isStreaming() && request.isLate(nowNanos);
     }
 
     private static long waitEndNanos(GatewayRequest request) {
--- a/core/src/main/java/org/citrontide/core/gateway/GatewayDispatcher.java
+++ b/core/src/main/java/org/citrontide/core/gateway/GatewayDispatcher.java
@@ -428,7 +428,7 @@
                 return false;
             }
             OpenGatewayRequest.Attempt attempt = open.attempt.get();
-            Duration timeout = open.request.route().streaming()
+            Duration timeout = open.request.route().isStreaming()
                     ? STREAM_STALL_TIMEOUT
                     : open.request.route().target().multipliedBy(STALL_TARGET_MULTIPLE);
             if (nowNanos - Math.max(attempt.progressNanos, attempt.upstream.lastProgressNanos()) < timeout.toNanos()) {
--- a/core/src/main/java/org/citrontide/core/gateway/MembershipView.java
+++ b/core/src/main/java/org/citrontide/core/gateway/MembershipView.java
@@ -28,7 +28,7 @@
     private boolean hadOutage;
 
     /** Records that the store does not respond. */
-    public void storeUnavailable() {
+    public void markStoreUnavailable() {
         isStoreUnavailable = true;
     }
 
@@ -37,7 +37,7 @@
      *
      * @param nowNanos monotonic time in ns
      */
-    public void storeAvailable(long nowNanos) {
+    public void markStoreAvailable(long nowNanos) {
         if (isStoreUnavailable) {
             isStoreUnavailable = false;
             hadOutage = true;
@@ -56,10 +56,10 @@
         upstreams.forEach(u -> ids.add(u.id()));
         for (String id : List.copyOf(current.keySet())) {
             if (!ids.contains(id)) {
-                entryRemoved(id, nowNanos);
+                removeEntry(id, nowNanos);
             }
         }
-        upstreams.forEach(this::entryWritten);
+        upstreams.forEach(this::putEntry);
     }
 
     /**
@@ -67,7 +67,7 @@
      *
      * @param upstream the entry
      */
-    public void entryWritten(ListedUpstream upstream) {
+    public void putEntry(ListedUpstream upstream) {
         current.put(upstream.id(), upstream);
         expired.remove(upstream.id());
     }
@@ -78,9 +78,9 @@
      * @param id identity of the upstream
      * @param nowNanos monotonic time in ns
      */
-    public void entryRemoved(String id, long nowNanos) {
+    public void removeEntry(String id, long nowNanos) {
         ListedUpstream u = current.remove(id);
-        if (u != null && !u.draining() && isInGracePeriod(nowNanos)) {
+        if (u != null && !u.isDraining() && isInGracePeriod(nowNanos)) {
             expired.put(id, u);
         }
     }
--- a/core/src/main/java/org/citrontide/core/gateway/UpstreamState.java
+++ b/core/src/main/java/org/citrontide/core/gateway/UpstreamState.java
@@ -58,7 +58,7 @@
     }
 
     boolean isAccepting(long nowNanos) {
-        return !entry.draining() && !isPaused(nowNanos);
+        return !entry.isDraining() && !isPaused(nowNanos);
     }
 
     boolean isPaused(long nowNanos) {
--- a/core/src/main/java/org/citrontide/core/lease/LeaseValidity.java
+++ b/core/src/main/java/org/citrontide/core/lease/LeaseValidity.java
@@ -36,13 +36,13 @@
      * @param nowNanos monotonic time in ns
      * @param nowMillis wall-clock time in ms
      */
-    public void requestSent(long nowNanos, long nowMillis) {
+    public void recordRequest(long nowNanos, long nowMillis) {
         requestNanos = nowNanos;
         requestMillis = nowMillis;
     }
 
     /** Records that the store granted or renewed the lease in response to the last request. */
-    public void granted() {
+    public void recordGrant() {
         validUntilNanos = OptionalLong.of(requestNanos + validity.toNanos());
         validUntilMillis = requestMillis + validity.toNanos() / NANOS_PER_MILLI;
     }
--- a/core/src/main/java/org/citrontide/core/publication/CallRule.java
+++ b/core/src/main/java/org/citrontide/core/publication/CallRule.java
@@ -5,10 +5,10 @@
  *
  * @param method HTTP method in upper case
  * @param path prefix of the path, with its leading slash
- * @param repeatable whether the call is idempotent, so that it may be executed more than once
+ * @param isRepeatable whether the call is idempotent, so that it may be executed more than once
  * @param urgency the most urgent class that a call may request, and the default class of a call that requests none
  */
-public record CallRule(String method, String path, boolean repeatable, Urgency urgency) {
+public record CallRule(String method, String path, boolean isRepeatable, Urgency urgency) {
 
     /**
      * Returns whether this rule applies to a call.
--- a/core/src/main/java/org/citrontide/core/publication/FileCheck.java
+++ b/core/src/main/java/org/citrontide/core/publication/FileCheck.java
@@ -107,9 +107,9 @@
         if (!path.isEmpty() && !path.startsWith("/")) {
             section.report("path", Violation.Kind.OUT_OF_RANGE, "\"" + path + "\"", "a path that begins with /");
         }
-        boolean repeatable = section.bool("repeatable", false);
+        boolean isRepeatable = section.bool("repeatable", false);
         Urgency urgency = section.enumValue("urgency", Urgency.class, Optional.of(Urgency.LIVE));
-        return new CallRule(method, path, repeatable, urgency);
+        return new CallRule(method, path, isRepeatable, urgency);
     }
 
     private static Map<Urgency, ClassRule> classes(TomlSection root) {
--- a/core/src/main/java/org/citrontide/core/routes/ListedUpstream.java
+++ b/core/src/main/java/org/citrontide/core/routes/ListedUpstream.java
@@ -11,7 +11,7 @@
  * @param port TCP port
  * @param zone availability zone
  * @param slots requests that it processes concurrently
- * @param draining whether it is draining and accepts no new requests
+ * @param isDraining whether it is draining and accepts no new requests
  * @param startedMillis Unix time of its start in ms, 0 if unknown; an upstream may restart under the same id
  */
 public record ListedUpstream(
@@ -21,7 +21,7 @@
         int port,
         String zone,
         int slots,
-        boolean draining,
+        boolean isDraining,
         long startedMillis) {
 
     /**
--- a/core/src/main/java/org/citrontide/core/routes/Route.java
+++ b/core/src/main/java/org/citrontide/core/routes/Route.java
@@ -12,7 +12,7 @@
  * @param prefix prefix of the matching paths, with a slash at both ends
  * @param splits weighted services that share the traffic, at least one
  * @param retrySafety how a request may be retried after an attempt that may have run
- * @param streaming whether the response is a stream of events
+ * @param isStreaming whether the response is a stream of events
  * @param timeout maximum time to the end of a response
  * @param target target latency: a response within this time is on time
  * @param targetGap maximum gap between events of a stream that is on time, zero if the response is not a stream
@@ -26,7 +26,7 @@
         String prefix,
         List<Split> splits,
         RetrySafety retrySafety,
-        boolean streaming,
+        boolean isStreaming,
         Duration timeout,
         Duration target,
         Duration targetGap,
--- a/core/src/test/java/org/citrontide/core/gateway/MembershipViewTest.java
+++ b/core/src/test/java/org/citrontide/core/gateway/MembershipViewTest.java
@@ -17,20 +17,20 @@
 
     @Test
     void anEntryRemovedWhileTheStoreIsAvailableIsDroppedImmediately() {
-        view.entryWritten(upstream("a", false));
-        view.entryRemoved("a", SECOND);
+        view.putEntry(upstream("a", false));
+        view.removeEntry("a", SECOND);
         assertEquals(List.of(), view.upstreams());
     }
 
     @Test
     void anEntryThatExpiredDuringAStoreOutageIsKeptForAGracePeriod() {
-        view.entryWritten(upstream("a", false));
-        view.entryWritten(upstream("b", false));
-        view.storeUnavailable();
-        view.storeAvailable(10 * SECOND);
+        view.putEntry(upstream("a", false));
+        view.putEntry(upstream("b", false));
+        view.markStoreUnavailable();
+        view.markStoreAvailable(10 * SECOND);
         view.replaceAll(List.of(), 10 * SECOND);
         assertEquals(2, view.upstreams().size());
-        view.entryWritten(upstream("a", false));
+        view.putEntry(upstream("a", false));
         assertFalse(view.expire(11 * SECOND));
         assertTrue(view.expire(13 * SECOND));
         assertEquals(List.of(upstream("a", false)), view.upstreams());
@@ -38,10 +38,10 @@
 
     @Test
     void aDrainingUpstreamIsNotKept() {
-        view.entryWritten(upstream("a", true));
-        view.storeUnavailable();
-        view.storeAvailable(10 * SECOND);
-        view.entryRemoved("a", 10 * SECOND);
+        view.putEntry(upstream("a", true));
+        view.markStoreUnavailable();
+        view.markStoreAvailable(10 * SECOND);
+        view.removeEntry("a", 10 * SECOND);
         assertEquals(List.of(), view.upstreams());
     }
 
--- a/core/src/test/java/org/citrontide/core/lease/LeaseValidityTest.java
+++ b/core/src/test/java/org/citrontide/core/lease/LeaseValidityTest.java
@@ -15,32 +15,32 @@
 
     @Test
     void aLeaseIsInvalidBeforeItIsGranted() {
-        lease.requestSent(0, 0);
+        lease.recordRequest(0, 0);
         assertFalse(lease.isValid(1, 1));
     }
 
     @Test
     void theValidityIsMeasuredFromBeforeTheRequest() {
-        lease.requestSent(100 * MS, 100);
-        lease.granted();
+        lease.recordRequest(100 * MS, 100);
+        lease.recordGrant();
         assertTrue(lease.isValid(1799 * MS, 1799));
         assertFalse(lease.isValid(1800 * MS, 1799));
     }
 
     @Test
     void aSuspendedMachineLosesTheLeaseByTheWallClock() {
-        lease.requestSent(0, 0);
-        lease.granted();
+        lease.recordRequest(0, 0);
+        lease.recordGrant();
         assertFalse(lease.isValid(10 * MS, 5000), "the monotonic clock stopped for five seconds");
     }
 
     @Test
     void aRenewalWithoutAResponseDoesNotExtendTheValidity() {
-        lease.requestSent(0, 0);
-        lease.granted();
-        lease.requestSent(1000 * MS, 1000);
+        lease.recordRequest(0, 0);
+        lease.recordGrant();
+        lease.recordRequest(1000 * MS, 1000);
         assertFalse(lease.isValid(1900 * MS, 1900));
-        lease.granted();
+        lease.recordGrant();
         assertTrue(lease.isValid(1900 * MS, 1900));
     }
 }
--- a/core/src/test/java/org/citrontide/core/publication/FileCheckTest.java
+++ b/core/src/test/java/org/citrontide/core/publication/FileCheckTest.java
@@ -22,7 +22,7 @@
         assertEquals("roster", f.service());
         assertEquals(15, f.classes().get(Urgency.DAILY).guaranteedPercent());
         assertEquals(2, f.weight("estate-office"));
-        assertTrue(f.findRule("POST", "/v1/chat/completions").orElseThrow().repeatable());
+        assertTrue(f.findRule("POST", "/v1/chat/completions").orElseThrow().isRepeatable());
     }
 
     @ParameterizedTest
--- a/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
+++ b/gateway/src/main/java/org/citrontide/gateway/dispatch/GatewayShell.java
@@ -268,7 +268,7 @@
                 UpstreamRequestBuilder.build(exchange.caller, send, resumeAfter),
                 Optional.ofNullable(exchange.caller.headers().get(PlatformHeaders.ATTEMPT_ID))
                         .orElse(""),
-                route.streaming(),
+                route.isStreaming(),
                 !route.isRetryable());
         exchange.attempt = Optional.of(attempt);
         openByAttempt.put(attempt.number(), exchange);
--- a/gateway/src/main/java/org/citrontide/gateway/store/LeaderElection.java
+++ b/gateway/src/main/java/org/citrontide/gateway/store/LeaderElection.java
@@ -131,7 +131,7 @@
             return;
         }
         isAttemptPending = true;
-        lease.requestSent(System.nanoTime(), System.currentTimeMillis());
+        lease.recordRequest(System.nanoTime(), System.currentTimeMillis());
         client.call(store, MetadataStore.grantLease(LEASE_TTL), CALL_TIMEOUT).whenComplete((response, failure) -> {
             isAttemptPending = false;
             if (failure != null || response.status() != OK) {
@@ -171,7 +171,7 @@
 
     private void startTerm(long number, long term) {
         leaseNumber = OptionalLong.of(number);
-        lease.granted();
+        lease.recordGrant();
         if (!lease.isValid(System.nanoTime(), System.currentTimeMillis())) {
             endLease(number);
             return;
@@ -193,7 +193,7 @@
             return;
         }
         long number = leaseNumber.orElseThrow();
-        lease.requestSent(System.nanoTime(), System.currentTimeMillis());
+        lease.recordRequest(System.nanoTime(), System.currentTimeMillis());
         client.call(store, MetadataStore.renewLease(number), CALL_TIMEOUT).whenComplete((response, failure) -> {
             if (!isLeader || leaseNumber.isEmpty() || leaseNumber.getAsLong() != number) {
                 return;
@@ -203,7 +203,7 @@
                 return;
             }
             if (failure == null && response.status() == OK) {
-                lease.granted();
+                lease.recordGrant();
             }
             renewLater();
         });
--- a/gateway/src/main/java/org/citrontide/gateway/store/StoreMirror.java
+++ b/gateway/src/main/java/org/citrontide/gateway/store/StoreMirror.java
@@ -208,7 +208,7 @@
                 .with("own-revision", revision.orElse(0L))
                 .write();
         // The peer can read the store, so entries missing from its copy have been removed.
-        membership.storeAvailable(System.nanoTime());
+        membership.markStoreAvailable(System.nanoTime());
         handleFullRead(page.items());
         revision = Optional.of(page.revision());
     }
@@ -270,11 +270,11 @@
         Optional<ListedUpstream> upstream = c.item().flatMap(this::decode);
         if (upstream.isPresent()) {
             logDraining(upstream.get());
-            membership.entryWritten(upstream.get());
+            membership.putEntry(upstream.get());
             return;
         }
         LOG.info("upstream-removed").with("upstream", id).write();
-        membership.entryRemoved(id, System.nanoTime());
+        membership.removeEntry(id, System.nanoTime());
     }
 
     private int countGateways() {
@@ -284,7 +284,7 @@
     }
 
     private void logDraining(ListedUpstream u) {
-        if (u.draining() && loggedOnce.add("draining " + u.id())) {
+        if (u.isDraining() && loggedOnce.add("draining " + u.id())) {
             LOG.info("upstream-draining").with("upstream", u.id()).write();
         }
     }
@@ -359,7 +359,7 @@
 
     private void handleUnavailable(String reason) {
         consecutiveFailures++;
-        membership.storeUnavailable();
+        membership.markStoreUnavailable();
         if (!isStoreUnavailable) {
             isStoreUnavailable = true;
             LOG.warn("store-lost").with("why", reason).write();
@@ -371,7 +371,7 @@
 
     private void handleAvailable() {
         consecutiveFailures = 0;
-        membership.storeAvailable(System.nanoTime());
+        membership.markStoreAvailable(System.nanoTime());
         if (isStoreUnavailable) {
             isStoreUnavailable = false;
             LOG.info("store-recovered")
--- a/runtime/src/main/java/org/citrontide/runtime/eventloop/EventLoop.java
+++ b/runtime/src/main/java/org/citrontide/runtime/eventloop/EventLoop.java
@@ -113,7 +113,9 @@
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException e) {
-                LOG.error("event-loop-failed", e).with("event-loop", thread.getName()).write();
+                LOG.error("event-loop-failed", e)
+                        .with("event-loop", thread.getName())
+                        .write();
             }
             batch.clear();
         }
