--- a/entry/src/main/java/org/citrontide/entry/filter/CallRuleFilter.java
+++ b/entry/src/main/java/org/citrontide/entry/filter/CallRuleFilter.java
@@ -20,7 +20,7 @@
             return Optional.of(Refusal.of(
                     Reason.UNKNOWN_SERVICE, "service " + file.service() + " has no rule for this method and path"));
         }
-        context.repeatable = rule.get().isRepeatable();
+        context.isRepeatable = rule.get().isRepeatable();
         context.urgency = rule.get().urgency();
         if (context.headers.urgency().isEmpty()) {
             return Optional.empty();
--- a/entry/src/main/java/org/citrontide/entry/filter/RequestContext.java
+++ b/entry/src/main/java/org/citrontide/entry/filter/RequestContext.java
@@ -36,7 +36,7 @@
     String upstreamPath = "";
 
     /** Set by {@link CallRuleFilter}. */
-    boolean repeatable;
+    boolean isRepeatable;
 
     /** Set by {@link CallRuleFilter}. */
     Urgency urgency = Urgency.OVERNIGHT;
@@ -137,7 +137,7 @@
      * @return true if it may, according to the rule of the call
      */
     public boolean isRepeatable() {
-        return repeatable;
+        return isRepeatable;
     }
 
     /**
--- a/gateway/src/main/java/org/citrontide/gateway/daemon/ControlPlane.java
+++ b/gateway/src/main/java/org/citrontide/gateway/daemon/ControlPlane.java
@@ -83,13 +83,13 @@
     @Override
     public void configurationChanged(RoutingTable table) {
         shell.setRoutingTable(table);
-        mapControllers.configurationChanged(table);
+        mapControllers.updateConfiguration(table);
     }
 
     @Override
     public void upstreamsUpdated(List<ListedUpstream> upstreams) {
         shell.updateUpstreams(upstreams);
-        mapControllers.upstreamsUpdated(upstreams);
+        mapControllers.updateUpstreams(upstreams);
     }
 
     @Override
--- a/gateway/src/main/java/org/citrontide/gateway/maps/MapControllerShell.java
+++ b/gateway/src/main/java/org/citrontide/gateway/maps/MapControllerShell.java
@@ -76,7 +76,7 @@
      *
      * @param table the configuration in force
      */
-    public void configurationChanged(RoutingTable table) {
+    public void updateConfiguration(RoutingTable table) {
         for (ServiceProfile s : table.services().values()) {
             s.engine().filter(e -> e.expertSets() > 0).ifPresent(e -> ensureController(s.name(), e));
         }
@@ -88,7 +88,7 @@
      *
      * @param list all upstreams considered available
      */
-    public void upstreamsUpdated(List<ListedUpstream> list) {
+    public void updateUpstreams(List<ListedUpstream> list) {
         Map<String, ListedUpstream> byId = new HashMap<>();
         list.forEach(u -> byId.put(u.id(), u));
         upstreams = byId;
--- a/gateway/src/main/java/org/citrontide/gateway/upstream/ReportReader.java
+++ b/gateway/src/main/java/org/citrontide/gateway/upstream/ReportReader.java
@@ -20,15 +20,15 @@
     private static final Duration TIMEOUT = Duration.ofMillis(250);
     private static final int OK = 200;
 
-    private final PlatformClient caller;
+    private final PlatformClient client;
 
     /**
      * Creates a reader.
      *
-     * @param caller sends calls to the upstreams
+     * @param client sends calls to the upstreams
      */
-    public ReportReader(PlatformClient caller) {
-        this.caller = caller;
+    public ReportReader(PlatformClient client) {
+        this.client = client;
     }
 
     /**
@@ -39,7 +39,7 @@
      *     no group
      */
     public void read(ListedUpstream upstream, Consumer<Optional<RankReport>> callback) {
-        caller.call(
+        client.call(
                         new InetSocketAddress(upstream.host(), upstream.port()),
                         EngineCalls.readReport().withExpectedUpstream(upstream.id()),
                         TIMEOUT)
--- a/gateway/src/main/java/org/citrontide/gateway/upstream/UpstreamAttempt.java
+++ b/gateway/src/main/java/org/citrontide/gateway/upstream/UpstreamAttempt.java
@@ -16,7 +16,7 @@
     private final ListedUpstream upstream;
     private final FullHttpRequest request;
     private final String attemptId;
-    private final boolean streaming;
+    private final boolean isStreaming;
     private final boolean atMostOnce;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private Optional<ResponseHead> head = Optional.empty();
@@ -30,7 +30,7 @@
      * @param upstream upstream to send the request to
      * @param request the request, sent unchanged
      * @param attemptId attempt ID that the upstream echoes, empty if there is none
-     * @param streaming whether a successful response is passed on while it arrives
+     * @param isStreaming whether a successful response is passed on while it arrives
      * @param atMostOnce whether the request must run at most once
      */
     public UpstreamAttempt(
@@ -38,13 +38,13 @@
             ListedUpstream upstream,
             FullHttpRequest request,
             String attemptId,
-            boolean streaming,
+            boolean isStreaming,
             boolean atMostOnce) {
         this.number = number;
         this.upstream = upstream;
         this.request = request;
         this.attemptId = attemptId;
-        this.streaming = streaming;
+        this.isStreaming = isStreaming;
         this.atMostOnce = atMostOnce;
     }
 
@@ -97,7 +97,7 @@
     }
 
     boolean isStreaming() {
-        return streaming;
+        return isStreaming;
     }
 
     boolean isAtMostOnce() {
