--- a/runtime/src/main/java/org/citrontide/runtime/duty/EventLoop.java
+++ b/runtime/src/main/java/org/citrontide/runtime/eventloop/EventLoop.java
@@ -1,4 +1,4 @@
-package org.citrontide.runtime.duty;
+package org.citrontide.runtime.eventloop;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -113,7 +113,9 @@
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException e) {
-                LOG.error("duty-failed", e).with("duty", thread.getName()).write();
+                LOG.error("event-loop-failed", e)
+                        .with("event-loop", thread.getName())
+                        .write();
             }
             batch.clear();
         }
--- a/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
+++ b/sidecar/src/main/java/org/citrontide/sidecar/gate/GateShell.java
@@ -25,8 +25,8 @@
 import org.citrontide.core.queue.QueuedRequest;
 import org.citrontide.core.verdict.Reason;
 import org.citrontide.core.verdict.Verdict;
-import org.citrontide.runtime.duty.Clock;
-import org.citrontide.runtime.duty.EventLoop;
+import org.citrontide.runtime.eventloop.Clock;
+import org.citrontide.runtime.eventloop.EventLoop;
 import org.citrontide.runtime.log.EventLog;
 import org.citrontide.runtime.log.LogRateLimiter;
 import org.citrontide.sidecar.upstream.UpstreamCall;
@@ -173,7 +173,7 @@
     private void handleAttempt(Link link, Attempt a, long nowNanos) {
         AttemptSequence sequence = attemptSequences.computeIfAbsent(link.id(), l -> new AttemptSequence());
         if (!sequence.accept(a.getId())) {
-            LOG.warn("attempt-repeated").with("request", a.getRequestId()).write();
+            LOG.warn("attempt-id-reused").with("request", a.getRequestId()).write();
             return;
         }
         long number = nextAttemptNumber++;
--- a/store/src/main/java/org/citrontide/store/configuration/ConfigurationService.java
+++ b/store/src/main/java/org/citrontide/store/configuration/ConfigurationService.java
@@ -13,8 +13,8 @@
 import org.citrontide.core.publication.ConfigurationSyncController;
 import org.citrontide.core.publication.ConfigurationSyncEvent;
 import org.citrontide.core.publication.Head;
-import org.citrontide.runtime.duty.Clock;
-import org.citrontide.runtime.duty.EventLoop;
+import org.citrontide.runtime.eventloop.Clock;
+import org.citrontide.runtime.eventloop.EventLoop;
 import org.citrontide.runtime.log.EventLog;
 import org.citrontide.wire.codec.ConfigurationCodec;
 import org.citrontide.wire.generated.ConfigurationRequest;
@@ -176,14 +176,14 @@
                 storeReader.read(a.watch(), lastHead, inForce.version()).thenAccept(eventLoop::put);
             case ConfigurationSyncAction.InstallConfiguration i -> install(i.configuration());
             case ConfigurationSyncAction.ReportStoreRegression a ->
-                LOG.warn("store-went-back")
+                LOG.warn("store-version-regressed")
                         .with("store-version", a.storeVersion())
                         .with("in-force", a.inForce())
                         .write();
             case ConfigurationSyncAction.ReportInvalidConfiguration a ->
                 LOG.warn("configuration-invalid")
                         .with("version", a.version())
-                        .with("first", a.violations().getFirst().text())
+                        .with("first-violation", a.violations().getFirst().text())
                         .write();
         }
     }
