--- a/core/src/main/java/org/citrontide/core/expertmap/GroupMapChange.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/GroupMapChange.java
@@ -99,7 +99,10 @@
         return c;
     }
 
-    /** Resumes a change that a round of reports shows in progress, because some rank holds a pass. */
+    /**
+     * Resumes a change that a round of reports shows in progress, because some rank holds a pass. The change may be
+     * another controller's or an earlier one of this controller, for example if a hold order was carried out late.
+     */
     static GroupMapChange resume(
             List<String> ranks,
             int epoch,
--- a/gateway/src/main/java/org/citrontide/gateway/maps/MapControllerShell.java
+++ b/gateway/src/main/java/org/citrontide/gateway/maps/MapControllerShell.java
@@ -96,7 +96,8 @@
     }
 
     /**
-     * Starts a term: from now on, the controllers may change maps.
+     * Starts a term: from now on, the controllers may change maps. Before a controller starts a change, it finishes one
+     * that it finds holding its group: another controller's or an earlier one of its own.
      *
      * @param number number of the term
      */
@@ -105,7 +106,10 @@
         controllers.keySet().forEach(s -> handle(s, new MapEvent.Elected(number)));
     }
 
-    /** Ends the term: the controllers start no further change. */
+    /**
+     * Ends the term: the controllers start no further change. They still finish a change that holds a group, another
+     * controller's or their own; an unanswered hold order is left to the next controller.
+     */
     public void deposed() {
         term = Optional.empty();
         controllers.keySet().forEach(s -> handle(s, new MapEvent.Deposed()));
--- a/runtime/src/main/java/org/citrontide/runtime/eventloop/EventLoop.java
+++ b/runtime/src/main/java/org/citrontide/runtime/eventloop/EventLoop.java
@@ -56,8 +56,9 @@
     }
 
     /**
-     * Adds an event that must not be lost, such as the end of an attempt. Blocks while the queue is full, until this
-     * event loop is closed.
+     * Adds an event that must not be lost while this event loop is open, such as the end of an attempt; blocks while
+     * the queue is full. An event given after {@link #close()} is dropped silently. A caller that is already blocked at
+     * the close may stay blocked until it is interrupted; then its event is dropped, too.
      *
      * @param event the event
      * @throws IllegalStateException if the thread of this event loop calls this while the queue is full
