--- a/core/src/main/java/org/citrontide/core/claim/ClaimLedger.java
+++ b/core/src/main/java/org/citrontide/core/claim/ClaimLedger.java
@@ -16,7 +16,7 @@
 /**
  * Ensures that a non-repeatable call runs at most once per idempotency key, across all sidecars of a service.
  *
- * <p>Before the call is sent, a claim is inserted by compare-and-swap into a bucket of the platform's store. Claims
+ * <p>Before the call is sent, a claim is inserted by compare-and-set into a bucket of the platform's store. Claims
  * requested while a write is outstanding are batched into the next one. After a write with an unknown outcome, the
  * bucket is read back.
  *
@@ -77,16 +77,16 @@
      * @param epochMillis wall-clock time in ms since 1970
      * @return the actions that the caller must perform, in order
      */
-    public List<ClaimAction> on(ClaimEvent event, long nowNanos, long epochMillis) {
+    public List<ClaimAction> handle(ClaimEvent event, long nowNanos, long epochMillis) {
         List<ClaimAction> actions = new ArrayList<>();
         switch (event) {
             case ClaimEvent.ClaimRequested r -> requestClaim(r, actions);
-            case ClaimEvent.CallNotSent n -> callNotSent(n.attempt());
-            case ClaimEvent.CallFinished f -> callFinished(f);
-            case ClaimEvent.BucketRead r -> bucketRead(r, nowNanos, actions);
-            case ClaimEvent.BucketWritten w -> bucketWritten(w, nowNanos, actions);
-            case ClaimEvent.BucketConflict c -> bucketConflict(bucket(c.bucket()));
-            case ClaimEvent.BucketFailed f -> bucketFailed(f, actions);
+            case ClaimEvent.CallNotSent n -> handleCallNotSent(n.attempt());
+            case ClaimEvent.CallFinished f -> handleCallFinished(f);
+            case ClaimEvent.BucketRead r -> handleBucketRead(r, nowNanos, actions);
+            case ClaimEvent.BucketWritten w -> handleBucketWritten(w, nowNanos, actions);
+            case ClaimEvent.BucketConflict c -> handleBucketConflict(bucket(c.bucket()));
+            case ClaimEvent.BucketFailed f -> handleBucketFailed(f, actions);
             case ClaimEvent.Tick t -> expireRequests(nowNanos, actions);
         }
         buckets.values().forEach(bucket -> startNextCall(bucket, nowNanos, epochMillis, actions));
@@ -136,7 +136,7 @@
         bucket(pending.key.bucket()).requests.add(pending);
     }
 
-    private void callNotSent(long attempt) {
+    private void handleCallNotSent(long attempt) {
         PendingClaim pending = byAttempt.get(attempt);
         if (pending != null) {
             abandon(pending);
@@ -150,13 +150,13 @@
         byKey.remove(pending.key);
         ClaimBucketState bucket = bucket(pending.key.bucket());
         bucket.requests.remove(pending);
-        if (pending.writeSent) {
+        if (pending.isWriteSent) {
             unsentHolders.add(holder(pending));
             bucket.releases.add(holder(pending));
         }
     }
 
-    private void callFinished(ClaimEvent.CallFinished event) {
+    private void handleCallFinished(ClaimEvent.CallFinished event) {
         PendingClaim pending = byAttempt.remove(event.attempt());
         if (pending == null) {
             return;
@@ -165,21 +165,21 @@
         event.response().ifPresent(r -> responses.put(pending.key, r));
     }
 
-    private void bucketRead(ClaimEvent.BucketRead event, long nowNanos, List<ClaimAction> actions) {
+    private void handleBucketRead(ClaimEvent.BucketRead event, long nowNanos, List<ClaimAction> actions) {
         ClaimBucketState bucket = bucket(event.bucket());
         bucket.outstandingCall = ClaimBucketState.Call.NONE;
         ClaimBucketState.Snapshot snapshot = ClaimBucketState.Snapshot.of(event.revision(), event.claims());
         bucket.snapshot = Optional.of(snapshot);
         for (PendingClaim pending : List.copyOf(bucket.requests)) {
             Claim stored = snapshot.claims().get(pending.key);
-            if (pending.writeSent && stored != null && stored.holder().equals(holder(pending))) {
+            if (pending.isWriteSent && stored != null && stored.holder().equals(holder(pending))) {
                 bucket.requests.remove(pending);
                 grant(pending, nowNanos, actions);
             }
         }
     }
 
-    private void bucketWritten(ClaimEvent.BucketWritten event, long nowNanos, List<ClaimAction> actions) {
+    private void handleBucketWritten(ClaimEvent.BucketWritten event, long nowNanos, List<ClaimAction> actions) {
         ClaimBucketState bucket = bucket(event.bucket());
         bucket.outstandingCall = ClaimBucketState.Call.NONE;
         bucket.snapshot = Optional.of(ClaimBucketState.Snapshot.of(event.revision(), bucket.writtenClaims));
@@ -203,13 +203,13 @@
         actions.add(new ClaimAction.GrantClaim(pending.attempt));
     }
 
-    private void bucketConflict(ClaimBucketState bucket) {
+    private void handleBucketConflict(ClaimBucketState bucket) {
         bucket.outstandingCall = ClaimBucketState.Call.NONE;
         bucket.snapshot = Optional.empty();
         requeueWrite(bucket);
     }
 
-    private void bucketFailed(ClaimEvent.BucketFailed event, List<ClaimAction> actions) {
+    private void handleBucketFailed(ClaimEvent.BucketFailed event, List<ClaimAction> actions) {
         ClaimBucketState bucket = bucket(event.bucket());
         boolean isOutcomeUnknown = bucket.outstandingCall == ClaimBucketState.Call.WRITE && event.mayHaveTakenEffect();
         bucket.outstandingCall = ClaimBucketState.Call.NONE;
@@ -222,11 +222,11 @@
             abandon(pending);
             actions.add(denied(pending, Reason.STORE_UNREACHABLE, STORE_RETRY_DELAY));
         }
-        bucket.storeFailed = true;
+        bucket.hasStoreFailed = true;
     }
 
     private void expireRequests(long nowNanos, List<ClaimAction> actions) {
-        buckets.values().forEach(bucket -> bucket.storeFailed = false);
+        buckets.values().forEach(bucket -> bucket.hasStoreFailed = false);
         for (PendingClaim pending : List.copyOf(byAttempt.values())) {
             if (pending.stage == PendingClaim.Stage.REQUESTED && nowNanos >= pending.deadlineNanos) {
                 abandon(pending);
@@ -245,10 +245,10 @@
         if (bucket.outstandingCall != ClaimBucketState.Call.NONE || !bucket.hasPendingChanges()) {
             return;
         }
-        if (bucket.storeFailed && bucket.requests.isEmpty()) {
+        if (bucket.hasStoreFailed && bucket.requests.isEmpty()) {
             return;
         }
-        bucket.storeFailed = false;
+        bucket.hasStoreFailed = false;
         if (bucket.snapshot.isEmpty()) {
             bucket.outstandingCall = ClaimBucketState.Call.READ;
             actions.add(new ClaimAction.ReadBucket(bucket.number));
--- a/core/src/main/java/org/citrontide/core/expertmap/GroupMapChange.java
+++ b/core/src/main/java/org/citrontide/core/expertmap/GroupMapChange.java
@@ -99,7 +99,10 @@
         return c;
     }
 
-    /** Resumes a change that a round of reports shows in progress, because some rank holds a pass. */
+    /**
+     * Resumes a change that a round of reports shows in progress, because some rank holds a pass. The change may be
+     * another controller's or an earlier one of this controller, for example if a hold order was carried out late.
+     */
     static GroupMapChange resume(
             List<String> ranks,
             int epoch,
@@ -116,7 +119,7 @@
         c.holder = reports.holdingRanks(ranks).getFirst();
         c.holdStep = reports.of(c.holder).heldStep().orElseThrow();
         context.log(
-                "map-change-found",
+                "map-change-taken-over",
                 "version " + version + " pass " + c.holdStep + " armed " + armed.size() + " prepared on all "
                         + preparedVersion.isPresent());
         if (preparedVersion.isPresent()) {
@@ -221,8 +224,8 @@
         };
     }
 
-    private void enterState(State s, List<String> targets, EventContext context) {
-        state = s;
+    private void enterState(State newState, List<String> targets, EventContext context) {
+        state = newState;
         stateStartNanos = context.nowNanos();
         nextPollNanos = context.nowNanos();
         pendingReports.clear();
@@ -253,13 +256,13 @@
         }
     }
 
-    private void handleReportWhileArming(String id, RankReport r, EventContext context) {
-        if (r.step() >= holdStep) {
+    private void handleReportWhileArming(String id, RankReport report, EventContext context) {
+        if (report.step() >= holdStep) {
             context.log("map-change-ended-by-other", "version " + version + " pass " + holdStep);
             state = State.ENDED;
             return;
         }
-        if (orders.isPending(id) && r.armed().isPresent() && r.armed().getAsLong() == version) {
+        if (orders.isPending(id) && report.armed().isPresent() && report.armed().getAsLong() == version) {
             completeOrder(id, context);
         }
     }
--- a/core/src/main/java/org/citrontide/core/gateway/UpstreamState.java
+++ b/core/src/main/java/org/citrontide/core/gateway/UpstreamState.java
@@ -58,7 +58,7 @@
     }
 
     boolean isAccepting(long nowNanos) {
-        return !entry.draining() && !isPaused(nowNanos);
+        return !entry.isDraining() && !isPaused(nowNanos);
     }
 
     boolean isPaused(long nowNanos) {
@@ -100,7 +100,7 @@
         entry = newEntry;
     }
 
-    void attemptSent() {
+    void recordAttemptSent() {
         inFlight++;
     }
 
@@ -109,7 +109,7 @@
         consecutiveUnreachable = 0;
     }
 
-    void attemptEnded() {
+    void recordAttemptEnded() {
         inFlight--;
     }
 
--- a/core/src/main/java/org/citrontide/core/publication/ConfigurationSyncEvent.java
+++ b/core/src/main/java/org/citrontide/core/publication/ConfigurationSyncEvent.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Map;
 
-/** An input event of a {@link ConfigurationSyncController}. Immutable. */
+/** An event that a {@link ConfigurationSyncController} handles. Immutable. */
 public sealed interface ConfigurationSyncEvent {
 
     /**
@@ -47,7 +47,7 @@
     /**
      * Time advanced, or this process became or ceased to be a watcher.
      *
-     * @param watcher whether this process is one of its zone's watchers
+     * @param isWatcher whether this process is one of its zone's watchers
      */
-    record Tick(boolean watcher) implements ConfigurationSyncEvent {}
+    record Tick(boolean isWatcher) implements ConfigurationSyncEvent {}
 }
--- a/core/src/test/java/org/citrontide/core/publication/ConfigurationSyncTest.java
+++ b/core/src/test/java/org/citrontide/core/publication/ConfigurationSyncTest.java
@@ -133,9 +133,9 @@
 
         private void step() {
             for (int i = 0; i < controllers.size(); i++) {
-                on(i, new ConfigurationSyncEvent.Tick(i < 2));
+                handle(i, new ConfigurationSyncEvent.Tick(i < 2));
                 if (stepsToResponse.getOrDefault(i, -1) > 0 && stepsToResponse.merge(i, -1, Integer::sum) == 0) {
-                    on(
+                    handle(
                             i,
                             storeDown
                                     ? new ConfigurationSyncEvent.StoreFailed()
@@ -143,29 +143,29 @@
                                             head, Map.of(PublicationStateMachine.hash(text), text)));
                 }
                 if (now % 1000 == (i * STEP_MS) % 1000) {
-                    heartbeats(i);
+                    sendHeartbeats(i);
                 }
             }
         }
 
         /** Sends heartbeats in both directions of each link. */
-        private void heartbeats(int i) {
+        private void sendHeartbeats(int i) {
             for (int peer : links.get(i)) {
-                digest(i, peer);
-                digest(peer, i);
+                sendDigest(i, peer);
+                sendDigest(peer, i);
             }
         }
 
-        private void digest(int from, int to) {
+        private void sendDigest(int from, int to) {
             ConfigurationSyncController c = controllers.get(from);
             Duration age = c.confirmationAge(now * MILLI).orElse(Duration.ofDays(1));
-            on(to, new ConfigurationSyncEvent.PeerDigest(from, c.inForce().version(), age));
+            handle(to, new ConfigurationSyncEvent.PeerDigest(from, c.inForce().version(), age));
         }
 
-        private void on(int i, ConfigurationSyncEvent event) {
-            for (ConfigurationSyncAction a : controllers.get(i).on(event, now * MILLI)) {
+        private void handle(int i, ConfigurationSyncEvent event) {
+            for (ConfigurationSyncAction a : controllers.get(i).handle(event, now * MILLI)) {
                 switch (a) {
-                    case ConfigurationSyncAction.RequestFiles p -> answer(i, (int) p.peer());
+                    case ConfigurationSyncAction.RequestFiles p -> sendFiles(i, (int) p.peer());
                     case ConfigurationSyncAction.ReadStore s -> {
                         storeCalls++;
                         stepsToResponse.put(i, s.watch() && !storeDown && isCurrent(i) ? 20 : 1);
@@ -182,7 +182,7 @@
             return controllers.get(i).inForce().version() >= head.version();
         }
 
-        private void answer(int to, int from) {
+        private void sendFiles(int to, int from) {
             Configuration c = controllers.get(from).inForce();
             Map<String, Long> versions = new HashMap<>();
             Map<String, String> texts = new HashMap<>();
@@ -190,7 +190,7 @@
                 versions.put(name, f.version());
                 texts.put(name, f.text());
             });
-            on(to, new ConfigurationSyncEvent.PeerFiles(from, c.version(), versions, texts));
+            handle(to, new ConfigurationSyncEvent.PeerFiles(from, c.version(), versions, texts));
         }
     }
 }
